--- a/benchmarks/src/deciding/queue_decisions.ts
+++ b/benchmarks/src/deciding/queue_decisions.ts
@@ -1,6 +1,6 @@
 /** The cost of one decision of a queue that holds many reservations. @module */
 import { WaitingQueue } from "@sycamorepulley/decisions";
-import type { Waiting } from "@sycamorepulley/decisions";
+import type { WaitingReservation } from "@sycamorepulley/decisions";
 import { nanosecondsOf, numbers } from "./measure.ts";
 
 const TIERS = 5;
@@ -85,7 +85,7 @@
   const random = numbers(SEED);
   const organisations = Math.min(MOST_ORGANISATIONS, Math.ceil(waiting / 4));
   let count = 0;
-  const next = (now: number): Waiting => {
+  const next = (now: number): WaitingReservation => {
     const id = String(count);
     count += 1;
     return {
--- a/benchmarks/src/policies/entry.ts
+++ b/benchmarks/src/policies/entry.ts
@@ -6,12 +6,12 @@
 import {
   BackendServerSet,
   CostEstimator,
-  Ejection,
+  CrashSuspects,
   type ObservedLoad,
+  OutlierEjection,
   ReservationPlan,
   RetryBudget,
   ServiceTimeEstimator,
-  Suspects,
 } from "@sycamorepulley/decisions";
 import type { Outcome } from "../model/outcome.ts";
 import { FixedPlan } from "./fixed_plan.ts";
@@ -35,9 +35,9 @@
   readonly #idOf = new Map<Outcome, string>();
   readonly #costs = new CostEstimator();
   readonly #serviceTimes = new ServiceTimeEstimator();
-  readonly #ejection = new Ejection();
+  readonly #ejection = new OutlierEjection();
   readonly #retries = new RetryBudget();
-  readonly #suspects = new Suspects();
+  readonly #suspects = new CrashSuspects();
   readonly #servers: BackendServerSet;
 
   constructor(options: {
@@ -105,7 +105,7 @@
       return;
     }
     if (pending.suspect) {
-      this.#suspects.stopped(outcome.request.fingerprint);
+      this.#suspects.cancelRun(outcome.request.fingerprint);
     }
     this.#send(server, (sidecar) => sidecar.cancel(id));
   }
@@ -120,7 +120,7 @@
     }
     const { fingerprint } = pending.outcome.request;
     if (
-      pending.suspect && !this.#suspects.started(fingerprint, name, now)
+      pending.suspect && !this.#suspects.tryStartRun(fingerprint, name, now)
     ) {
       this.#send(server, (sidecar) => sidecar.withdraw(id));
       this.refused(id, server, "suspect_busy");
@@ -131,8 +131,8 @@
     pending.holders.delete(name);
     this.#send(server, (sidecar) => sidecar.handOver(id, this.#index, grant));
     this.#withdrawFrom(pending);
-    this.#retries.success(now);
-    this.#ejection.started(name, now);
+    this.#retries.recordSuccess(now);
+    this.#ejection.recordStart(name, now);
   }
 
   override refused(id: string, server: number, reason: string): void {
@@ -141,8 +141,8 @@
     if (pending === undefined || pending.server !== undefined) return;
     if (!pending.holders.delete(this.#nameOf(server))) return;
     pending.lastReason = reason;
-    if (this.#retries.allow(now)) {
-      pending.plan.lost();
+    if (this.#retries.tryTake(now)) {
+      pending.plan.markLost();
       this.#place(pending);
     }
     this.#refuseIfNobodyLeft(pending);
@@ -163,14 +163,18 @@
     const { promptTokens, outputTokens, fingerprint } = outcome.request;
     const firstToken = pending.firstTokenAfter ?? now - pending.handedOverAt;
     const expected = this.#serviceTimes.expectedFirstToken(cost);
-    this.#ejection.succeeded(this.#nameOf(server), now, firstToken / expected);
+    this.#ejection.recordSuccess(
+      this.#nameOf(server),
+      now,
+      firstToken / expected,
+    );
     this.#serviceTimes.observe({
       cost: { promptTokens, outputTokens },
       firstToken,
       total: now - pending.handedOverAt,
     });
     this.#costs.observe({ ...shapeOf(outcome), promptTokens, outputTokens });
-    this.#suspects.completed(fingerprint, now);
+    this.#suspects.recordCleanRun(fingerprint, now);
     this.#forget(pending);
     this.#caller.finished(outcome);
   }
@@ -178,8 +182,8 @@
   override crashed(fingerprints: readonly string[], server: number): void {
     const { now } = this.#fleet.loop;
     const name = this.#nameOf(server);
-    this.#suspects.crashed(fingerprints, name, now);
-    this.#ejection.failed(name, "crash", now);
+    this.#suspects.recordCrash(fingerprints, name, now);
+    this.#ejection.recordFailure(name, "crash", now);
   }
 
   override failed(id: string, _server: number, reason: string): void {
@@ -218,7 +222,7 @@
       now: loop.now,
       random: () => random.uniform(),
     });
-    if (names.length < count) plan.lost(count - names.length);
+    if (names.length < count) plan.markLost(count - names.length);
     for (const name of names) {
       asked.add(name);
       holders.add(name);
--- a/benchmarks/src/policies/fixed_limit.ts
+++ b/benchmarks/src/policies/fixed_limit.ts
@@ -2,7 +2,7 @@
 import {
   ConcurrencyLimit,
   type Cost,
-  type Waiting,
+  type WaitingReservation,
 } from "@sycamorepulley/decisions";
 
 /** See the module. */
@@ -23,8 +23,8 @@
     return this.#limit;
   }
 
-  override admits(waiting: Waiting): boolean {
-    if (waiting.suspect) return this.empty;
+  override admits(waiting: WaitingReservation): boolean {
+    if (waiting.suspect) return this.isIdle;
     return this.running < this.#limit;
   }
 
--- a/benchmarks/src/policies/fixed_plan.ts
+++ b/benchmarks/src/policies/fixed_plan.ts
@@ -26,7 +26,7 @@
     return { count, reach: "region" };
   }
 
-  lost(count = 1): void {
+  markLost(count = 1): void {
     this.#held = Math.max(0, this.#held - count);
   }
 
--- a/benchmarks/src/policies/sidecar.ts
+++ b/benchmarks/src/policies/sidecar.ts
@@ -7,13 +7,13 @@
   type ConcurrencyLimit,
   type Cost,
   DrainRate,
-  type GrantDecision,
-  GrantDesk,
   type ObservedLoad,
+  type ReservationDecision,
+  ReservationScheduler,
   ServiceTimeEstimator,
   TokenLimit,
-  type Waiting,
   WaitingQueue,
+  type WaitingReservation,
 } from "@sycamorepulley/decisions";
 import type { Engine } from "../model/engine.ts";
 import { FixedLimit } from "./fixed_limit.ts";
@@ -26,7 +26,7 @@
 
 type Held = {
   reservation: Reservation;
-  waiting: Waiting;
+  waiting: WaitingReservation;
   running: boolean;
   startedAt: number;
   firstTokenAt: number;
@@ -45,7 +45,7 @@
   readonly #serviceTimes = new ServiceTimeEstimator();
   readonly #drain = new DrainRate();
   readonly #queue: WaitingQueue;
-  readonly #desk: GrantDesk;
+  readonly #desk: ReservationScheduler;
 
   constructor(options: {
     index: number;
@@ -66,7 +66,10 @@
       capacity: queueCapacity,
       serviceTimeOf: (cost) => this.#serviceTime(cost),
     });
-    this.#desk = new GrantDesk({ queue: this.#queue, limit: this.#limit });
+    this.#desk = new ReservationScheduler({
+      queue: this.#queue,
+      limit: this.#limit,
+    });
     this.#engine.observer = {
       onCrashed: () => this.#crashed(),
       onRestarted: () => this.#restarted(),
@@ -136,7 +139,7 @@
     };
   }
 
-  #waiting(reservation: Reservation): Waiting {
+  #waiting(reservation: Reservation): WaitingReservation {
     const { now } = this.#fleet.loop;
     const { cost, remaining, firstTokenRemaining } = reservation;
     const decoding = this.#serviceTime(cost) - this.#firstTokenTime(cost);
@@ -157,17 +160,17 @@
 
   #serviceTime(cost: Cost): number {
     return this.#settings.serviceTimeMargin
-      ? this.#serviceTimes.likelyWithin(cost)
-      : this.#serviceTimes.expected(cost);
+      ? this.#serviceTimes.conservativeTotal(cost)
+      : this.#serviceTimes.expectedTotal(cost);
   }
 
   #firstTokenTime(cost: Cost): number {
     return this.#settings.serviceTimeMargin
-      ? this.#serviceTimes.likelyFirstTokenWithin(cost)
+      ? this.#serviceTimes.conservativeFirstToken(cost)
       : this.#serviceTimes.expectedFirstToken(cost);
   }
 
-  #carryOut(decisions: readonly GrantDecision[]): void {
+  #carryOut(decisions: readonly ReservationDecision[]): void {
     for (const decision of decisions) {
       const { id } = decision;
       const held = this.#held.get(id);
@@ -203,7 +206,7 @@
       promptTokens: cost.promptTokens,
       outputTokens: held.tokens,
     };
-    this.#queue.settle(held.waiting, actual);
+    this.#queue.correctCharge(held.waiting, actual);
     this.#serviceTimes.observe({
       cost: actual,
       firstToken: held.firstTokenAt - held.startedAt,
--- a/packages/daemon/src/entry/directory_listener.ts
+++ b/packages/daemon/src/entry/directory_listener.ts
@@ -29,7 +29,7 @@
     this.#directory.linkOpened();
     this.#options.log.info("link opened", { sidecar: session.name });
     this.#options.onPeerRevision(session, hello.configurationRevision);
-    if (hello.leaving) this.#desk(session)?.servers.leaving(session.name);
+    if (hello.leaving) this.#desk(session)?.servers.markLeaving(session.name);
   }
 
   override onMessage(session: SidecarSession, message: Message): void {
@@ -45,7 +45,7 @@
         );
         return;
       case "leaving":
-        desk?.servers.leaving(session.name);
+        desk?.servers.markLeaving(session.name);
         this.#options.log.info("sidecar leaving", { sidecar: session.name });
         return;
       case "crashed":
@@ -75,7 +75,7 @@
     if (!error) return;
     const { step, reason } = error;
     this.#options.metrics.linkErrors.inc({ step, reason });
-    this.#desk(session)?.ejection.failed(
+    this.#desk(session)?.ejection.recordFailure(
       session.name,
       "error",
       monotonicNow(),
@@ -95,8 +95,8 @@
     const service = this.#directory.serviceOf(session.name);
     if (service === undefined) return;
     const desk = this.#options.desk(service);
-    desk.suspects.crashed(crash.fingerprints, crash.backendServer, now);
-    desk.ejection.failed(session.name, "crash", now);
+    desk.suspects.recordCrash(crash.fingerprints, crash.backendServer, now);
+    desk.ejection.recordFailure(session.name, "crash", now);
     for (const peer of this.#directory.sessionsOf(service)) {
       if (peer !== session) peer.send(crash);
     }
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -1,6 +1,9 @@
 /** The entry role: callers' requests in, backend servers' answers out. @module */
 import type { IncomingMessage, ServerResponse } from "node:http";
-import { CostEstimator, WaitingAllowance } from "@sycamorepulley/decisions";
+import {
+  CostEstimator,
+  WaitingRequestLimiter,
+} from "@sycamorepulley/decisions";
 import { claimCommitOptions, ClaimLedger } from "@sycamorepulley/store";
 import type { Instance, Status } from "@sycamorepulley/store";
 import type { Message } from "@sycamorepulley/protocol";
@@ -88,7 +91,7 @@
     this.#surroundings = {
       desk,
       sessions: this.#directory,
-      allowance: new WaitingAllowance((service) => this.#bounds(service)),
+      allowance: new WaitingRequestLimiter((service) => this.#bounds(service)),
       moves: this.moves,
       metrics: parts.metrics,
       random: parts.random,
--- a/packages/daemon/src/entry/placement_task.ts
+++ b/packages/daemon/src/entry/placement_task.ts
@@ -106,8 +106,8 @@
     this.#held.delete(sidecar);
     const { desk } = this.#options;
     const now = monotonicNow();
-    desk.retryBudget.success(now);
-    desk.ejection.started(sidecar, now);
+    desk.retryBudget.recordSuccess(now);
+    desk.ejection.recordStart(sidecar, now);
     return { kind: "handedOver", session };
   }
 
@@ -118,19 +118,19 @@
   #takeTurn(sidecar: string): boolean {
     const { desk, request, number } = this.#options;
     const { fingerprint } = request;
-    if (desk.suspects.started(fingerprint, sidecar, monotonicNow())) {
+    if (desk.suspects.tryStartRun(fingerprint, sidecar, monotonicNow())) {
       return true;
     }
     this.#held.get(sidecar)?.withdraw(number);
     this.#held.delete(sidecar);
-    this.#plan.lost();
+    this.#plan.markLost();
     return false;
   }
 
   #refused(event: RequestEvent & { kind: "refuse" }): undefined {
     const { sidecar, reason, retryAfter } = event;
     const { desk, request } = this.#options;
-    if (reason === "leaving") desk.servers.leaving(sidecar);
+    if (reason === "leaving") desk.servers.markLeaving(sidecar);
     const detail = `no backend server of ${request.service.name} takes a ` +
       `request of tier ${request.tier.name} now`;
     this.#refusal = soonest(
@@ -154,13 +154,13 @@
     if (this.#suspect && this.#held.size > 0) return "placed";
     const planned = this.#plan.next(now);
     if (this.#suspect) {
-      this.#plan.lost(Math.max(0, planned.count - 1));
+      this.#plan.markLost(Math.max(0, planned.count - 1));
       planned.count = Math.min(planned.count, 1);
     }
     if (planned.count > 0) {
       const names = this.#choose(planned, now);
       for (const name of names) this.#reserve(name, now);
-      this.#plan.lost(planned.count - names.length);
+      this.#plan.markLost(planned.count - names.length);
     }
     if (this.#held.size > 0 || this.#lost > 0) return "placed";
     return this.#plan.nextAt === undefined || this.#outOfServers(now)
@@ -171,9 +171,9 @@
   /** Replaces lost reservations as far as the service's budget allows. */
   #spendBudget(now: number): void {
     const { desk } = this.#options;
-    while (this.#lost > 0 && desk.retryBudget.allow(now)) {
+    while (this.#lost > 0 && desk.retryBudget.tryTake(now)) {
       this.#lost -= 1;
-      this.#plan.lost();
+      this.#plan.markLost();
     }
     // Others hold the request's place, so there is nothing to replace for now.
     if (this.#held.size > 0) return;
@@ -206,7 +206,7 @@
     const session = sessions.session(name);
     if (!session) {
       this.#excluded.add(name);
-      this.#plan.lost();
+      this.#plan.markLost();
       return;
     }
     this.#held.set(name, session);
--- a/packages/daemon/src/entry/request_counts.ts
+++ b/packages/daemon/src/entry/request_counts.ts
@@ -1,5 +1,5 @@
 /** Counting how requests end. @module */
-import type { WaitingAllowance } from "@sycamorepulley/decisions";
+import type { WaitingRequestLimiter } from "@sycamorepulley/decisions";
 import type { Metrics } from "../common/metrics.ts";
 import type { AnswerSink } from "./answer_sink.ts";
 import type { Refusal } from "./refusal.ts";
@@ -38,12 +38,12 @@
 /** Sets each service's gauge of waiting requests; gives their sum. */
 export function countWaiting(
   metrics: Metrics,
-  allowance: WaitingAllowance,
+  allowance: WaitingRequestLimiter,
   services: readonly { name: string }[],
 ): number {
   let sum = 0;
   for (const { name } of services) {
-    const { requests } = allowance.held(name);
+    const { requests } = allowance.usageOf(name);
     metrics.waiting.set({ service: name }, requests);
     sum += requests;
   }
--- a/packages/daemon/src/entry/request_surroundings.ts
+++ b/packages/daemon/src/entry/request_surroundings.ts
@@ -1,5 +1,5 @@
 /** What request tasks share, and how they end. @module */
-import type { WaitingAllowance } from "@sycamorepulley/decisions";
+import type { WaitingRequestLimiter } from "@sycamorepulley/decisions";
 import type { Metrics } from "../common/metrics.ts";
 import type { EntryMoves } from "../moves/entry_moves.ts";
 import type { Refusal } from "./refusal.ts";
@@ -11,7 +11,7 @@
 export type RequestSurroundings = {
   desk: (service: string) => ServiceDesk;
   sessions: SessionPool;
-  allowance: WaitingAllowance;
+  allowance: WaitingRequestLimiter;
   moves: VersionChooser;
   metrics: Metrics;
   random: () => number;
--- a/packages/daemon/src/entry/request_task.ts
+++ b/packages/daemon/src/entry/request_task.ts
@@ -127,7 +127,7 @@
       service: service.name,
       bytes: body.byteLength,
       tierRank: tier.rank,
-      evicted: () => this.#mailbox.put({ kind: "evicted" }),
+      onEvicted: () => this.#mailbox.put({ kind: "evicted" }),
     }).mapErr((error) =>
       notRun(
         error.reason === "too_many_waiting"
@@ -228,8 +228,8 @@
     const now = monotonicNow();
     const { service, fingerprint } = this.#request;
     const { ejection, suspects } = this.#surroundings.desk(service.name);
-    if (outcome.kind === "whole") suspects.completed(fingerprint, now);
-    else suspects.stopped(fingerprint);
+    if (outcome.kind === "whole") suspects.recordCleanRun(fingerprint, now);
+    else suspects.cancelRun(fingerprint);
     if (outcome.kind === "callerLeft") {
       this.#lifecycle.apply("abandon");
       return { kind: "callerLeft", ran: "unknown" };
@@ -237,8 +237,8 @@
     if (outcome.kind === "whole") {
       this.#lifecycle.apply("begin");
       this.#lifecycle.apply("finish");
-      if (outcome.status < 500) ejection.succeeded(session.name, now);
-      else ejection.failed(session.name, "error", now);
+      if (outcome.status < 500) ejection.recordSuccess(session.name, now);
+      else ejection.recordFailure(session.name, "error", now);
       this.#surroundings.onAnswered(this.#request, outcome.bytes, now);
       this.#sink.end();
       return { kind: "answered", status: outcome.status };
@@ -246,7 +246,7 @@
     this.#lifecycle.apply("fail");
     const { refusal, begun } = outcome;
     if (refusal.reason !== "caller_too_slow") {
-      ejection.failed(
+      ejection.recordFailure(
         session.name,
         refusal.reason === "deadline" ? "timeout" : "error",
         now,
--- a/packages/daemon/src/entry/service_desk.ts
+++ b/packages/daemon/src/entry/service_desk.ts
@@ -6,18 +6,18 @@
  */
 import {
   BackendServerSet,
-  Ejection,
+  CrashSuspects,
+  OutlierEjection,
   RetryBudget,
-  Suspects,
 } from "@sycamorepulley/decisions";
 import { VersionRoom } from "../moves/version_room.ts";
 
 /** Decisions' state for one service at one entry. */
 export class ServiceDesk {
   readonly service: string;
-  readonly ejection = new Ejection();
+  readonly ejection = new OutlierEjection();
   readonly retryBudget = new RetryBudget();
-  readonly suspects = new Suspects();
+  readonly suspects = new CrashSuspects();
   readonly room = new VersionRoom();
   readonly servers: BackendServerSet;
 
--- a/packages/daemon/src/entry/sidecar_directory.ts
+++ b/packages/daemon/src/entry/sidecar_directory.ts
@@ -139,7 +139,7 @@
       dataCentre: instance.dataCentre,
       version: instance.version,
     }, now);
-    if (instance.leaving) desk.servers.leaving(instance.name);
+    if (instance.leaving) desk.servers.markLeaving(instance.name);
   }
 
   /** Dropped by the list: no new work, but running requests keep their link. */
@@ -171,7 +171,7 @@
       if (known.session || !known.listed) continue;
       if (this.#tasks.size >= this.#options.links) return;
       const { name, service } = known.instance;
-      const linked = this.#options.desk(service ?? "").servers.linked();
+      const linked = this.#options.desk(service ?? "").servers.namesToLink();
       if (linked.has(name)) known.session = this.#start(known.instance);
     }
   }
--- a/packages/daemon/src/moves/service_move.ts
+++ b/packages/daemon/src/moves/service_move.ts
@@ -4,14 +4,18 @@
  * @module
  */
 import {
-  endInForce,
-  EvidenceTally,
+  effectiveOutcome,
+  effectiveShare,
+  EvidenceCollector,
   MoveJudge,
-  shareInForce,
-  trialRequestsOfEntry,
+  trialRequestsPerEntry,
   VersionSplit,
 } from "@sycamorepulley/decisions";
-import type { MoveEnd, RouteEvidence, Side } from "@sycamorepulley/decisions";
+import type {
+  MoveOutcome,
+  RouteEvidence,
+  VersionSide,
+} from "@sycamorepulley/decisions";
 import type { Move } from "@sycamorepulley/configuration";
 import type { MoveStatus } from "@sycamorepulley/store";
 import { firstRecord } from "./stored_move.ts";
@@ -20,7 +24,7 @@
 /** What one request on a move is charged to. */
 export type MoveChoice = {
   move: string;
-  side: Side;
+  side: VersionSide;
   version: string;
   /** Version that takes the request if the new one has no room for it. */
   fallback?: string | undefined;
@@ -29,7 +33,7 @@
 /** Splits, counts and stops at once on own evidence. */
 export class ServiceMove {
   readonly move: Move;
-  readonly #tally = new EvidenceTally();
+  readonly #tally = new EvidenceCollector();
   readonly #judge = new MoveJudge();
   readonly #split: VersionSplit;
   #stored: StoredMove;
@@ -53,19 +57,21 @@
   }
 
   /** How the move stands; by rule also when no record can be had. */
-  endInForce(now: number): MoveEnd {
+  endInForce(now: number): MoveOutcome {
     const { phase } = this.#stored.record;
     const deadline = Date.parse(this.move.deadline);
-    return endInForce({ phase, deadline }, now);
+    return effectiveOutcome({ phase, deadline }, now);
   }
 
   /** The version of the next request; `now` is the wall clock. */
   choose(now: number, entries: number): MoveChoice {
     const { record } = this.#stored;
-    this.#split.update({
-      share: shareInForce(record, now),
+    this.#split.setBounds({
+      share: effectiveShare(record, now),
       ...(record.phase === "trial"
-        ? { trialRequests: trialRequestsOfEntry(record.trialRequests, entries) }
+        ? {
+          trialRequests: trialRequestsPerEntry(record.trialRequests, entries),
+        }
         : {}),
     });
     const complete = this.endInForce(now) === "complete";
@@ -79,21 +85,21 @@
 
   /** A request that was chosen for a side ended. */
   ended(
-    side: Side,
+    side: VersionSide,
     call: { route: string; failed: boolean; slowness?: number | undefined },
   ): void {
-    if (side === "to") this.#split.ended();
-    this.#tally.ended({ ...call, side });
+    if (side === "to") this.#split.requestEnded();
+    this.#tally.recordCall({ ...call, side });
   }
 
   /** A chosen request ended without having run. */
-  notRun(side: Side): void {
-    if (side === "to") this.#split.ended();
+  notRun(side: VersionSide): void {
+    if (side === "to") this.#split.requestEnded();
   }
 
   /** Evidence since the last time; stops the new version on it at once. */
   takeEvidence(now: number): RouteEvidence[] {
-    const evidence = this.#tally.take();
+    const evidence = this.#tally.flush();
     if (this.#judge.observe(evidence, now).kind === "bad") this.#split.stop();
     return evidence;
   }
@@ -107,7 +113,7 @@
       service,
       from,
       to,
-      share: end === "complete" ? 1 : shareInForce(record, now),
+      share: end === "complete" ? 1 : effectiveShare(record, now),
       state: statusOf(end, record.phase),
       deadline,
       detail: this.#detail(),
@@ -129,7 +135,7 @@
   }
 }
 
-function statusOf(end: MoveEnd, phase: string): MoveStatus["state"] {
+function statusOf(end: MoveOutcome, phase: string): MoveStatus["state"] {
   if (end === "complete") return "complete";
   if (end === "takenBack") return "taken_back";
   return phase === "pending" ? "waiting" : "moving";
--- a/packages/daemon/src/sidecar/crash_reporter.ts
+++ b/packages/daemon/src/sidecar/crash_reporter.ts
@@ -3,7 +3,7 @@
  * @module
  */
 import { setTimeout as sleep } from "node:timers/promises";
-import type { Suspects } from "@sycamorepulley/decisions";
+import type { CrashSuspects } from "@sycamorepulley/decisions";
 import type { Crashed } from "@sycamorepulley/protocol";
 import { monotonicNow } from "../common/clock.ts";
 import { CrashWatch } from "./crash_watch.ts";
@@ -18,7 +18,7 @@
 /** Options of {@link CrashReporter}. */
 export type CrashReporterOptions = {
   instance: string;
-  suspects: Suspects;
+  suspects: CrashSuspects;
   probe: () => HealthProbe;
   /** To every entry that is connected. */
   broadcast: (message: Crashed) => void;
@@ -56,7 +56,7 @@
 
   /** Takes in a crash here or at another server of the service. */
   learn({ fingerprints, backendServer }: Crashed): void {
-    this.#options.suspects.crashed(
+    this.#options.suspects.recordCrash(
       fingerprints,
       backendServer,
       monotonicNow(),
--- a/packages/daemon/src/sidecar/sidecar.ts
+++ b/packages/daemon/src/sidecar/sidecar.ts
@@ -3,7 +3,10 @@
  * here; a grant offers room; the request comes in answer and runs once.
  * @module
  */
-import type { GrantDecision, GrantDesk } from "@sycamorepulley/decisions";
+import type {
+  ReservationDecision,
+  ReservationScheduler,
+} from "@sycamorepulley/decisions";
 import type {
   HandOver,
   Headers,
@@ -30,7 +33,7 @@
 /** One backend server's queue, limit, health and running requests. */
 export class Sidecar extends EntryMessageHandler {
   readonly #options: SidecarOptions;
-  readonly #desk: GrantDesk;
+  readonly #desk: ReservationScheduler;
   readonly #reservations = new ReservationTable();
   readonly #runs: RequestRuns;
   readonly #connections = new Set<EntryConnection>();
@@ -215,7 +218,9 @@
     const { suspects } = this.#options;
     if (outcome.kind === "whole") {
       this.#options.onServed(request.served(now), now);
-      if (reserve.fingerprint) suspects.completed(reserve.fingerprint, now);
+      if (reserve.fingerprint) {
+        suspects.recordCleanRun(reserve.fingerprint, now);
+      }
     } else if (outcome.reason === "connect_failed") {
       this.#options.probe().down();
     }
@@ -227,11 +232,11 @@
     );
   }
 
-  #carryOut(decisions: GrantDecision[]): void {
+  #carryOut(decisions: ReservationDecision[]): void {
     for (const decision of decisions) this.#carryOutOne(decision);
   }
 
-  #carryOutOne(decision: GrantDecision): void {
+  #carryOutOne(decision: ReservationDecision): void {
     const { service, metrics } = this.#options;
     const record = decision.kind === "grant"
       ? this.#reservations.get(decision.id)
@@ -271,7 +276,7 @@
     const now = monotonicNow();
     const { statedLimit } = this.#options;
     if (!statedLimit.heard(headers, startedAt, now)) return;
-    this.#carryOut(this.#desk.setStatedLimit(statedLimit.perSecond, now));
+    this.#carryOut(this.#desk.setRateLimit(statedLimit.perSecond, now));
   }
 
   #broadcast(message: Message): void {
@@ -289,7 +294,7 @@
     this.#timer = setTimeout(() => {
       this.#timer = undefined;
       this.#carryOut(this.#desk.tick(monotonicNow()));
-      if (this.#desk.waiting > 0 || this.#desk.granted > 0) this.#arm();
+      if (this.#desk.waiting > 0 || this.#desk.openGrants > 0) this.#arm();
     }, TICK);
   }
 }
--- a/packages/daemon/src/sidecar/sidecar_estimates.ts
+++ b/packages/daemon/src/sidecar/sidecar_estimates.ts
@@ -20,7 +20,7 @@
   /** Time from a grant within which the answer is likely to be whole. */
   expectedTime(cost: Cost): number {
     return this.#kind === "model"
-      ? this.#serviceTime.likelyWithin(cost)
+      ? this.#serviceTime.conservativeTotal(cost)
       : this.#meanPlainTime ?? 0;
   }
 
@@ -33,8 +33,8 @@
   timeAllowed(reserve: Reserve): number {
     const { cost, remaining, firstTokenRemaining } = reserve;
     if (firstTokenRemaining === undefined) return remaining;
-    const decoding = this.#serviceTime.likelyWithin(cost) -
-      this.#serviceTime.likelyFirstTokenWithin(cost);
+    const decoding = this.#serviceTime.conservativeTotal(cost) -
+      this.#serviceTime.conservativeFirstToken(cost);
     return Math.min(remaining, firstTokenRemaining + decoding);
   }
 
--- a/packages/daemon/src/sidecar/sidecar_options.ts
+++ b/packages/daemon/src/sidecar/sidecar_options.ts
@@ -1,5 +1,8 @@
 /** What a sidecar is built from. @module */
-import type { GrantDesk, Suspects } from "@sycamorepulley/decisions";
+import type {
+  CrashSuspects,
+  ReservationScheduler,
+} from "@sycamorepulley/decisions";
 import type { Cost, Message, Reserve } from "@sycamorepulley/protocol";
 import type { Log } from "../common/log.ts";
 import type { Metrics } from "../common/metrics.ts";
@@ -13,9 +16,9 @@
 export type SidecarOptions = {
   instance: string;
   service: string;
-  desk: GrantDesk;
+  desk: ReservationScheduler;
   guard: VersionGuard;
-  suspects: Suspects;
+  suspects: CrashSuspects;
   client: BackendClient;
   probe: () => HealthProbe;
   /** Share of an organisation beside others, from the configuration. */
--- a/packages/daemon/src/sidecar/start_sidecar.ts
+++ b/packages/daemon/src/sidecar/start_sidecar.ts
@@ -1,8 +1,8 @@
 /** Builds and starts the sidecar role. @module */
 import {
   CallLimit,
-  GrantDesk,
-  Suspects,
+  CrashSuspects,
+  ReservationScheduler,
   TokenLimit,
   WaitingQueue,
 } from "@sycamorepulley/decisions";
@@ -133,8 +133,8 @@
     instance: settings.instance,
     service,
     guard: new VersionGuard(settings.backendServer.version),
-    desk: new GrantDesk({ queue, limit: own.limit }),
-    suspects: new Suspects(),
+    desk: new ReservationScheduler({ queue, limit: own.limit }),
+    suspects: new CrashSuspects(),
     client: own.client,
     probe: own.probe,
     weightOf: (name) => configuration.index?.organisation(name)?.weight ?? 1,
--- a/packages/daemon/src/sidecar/stated_server_limit.ts
+++ b/packages/daemon/src/sidecar/stated_server_limit.ts
@@ -4,7 +4,7 @@
  * The sidecar is the only way to its server, so it alone keeps to the limit.
  * @module
  */
-import { ServerLimits, statedLimit } from "@sycamorepulley/decisions";
+import { parseServerLimit, ServerLimits } from "@sycamorepulley/decisions";
 import type { Headers } from "@sycamorepulley/protocol";
 import type { Log } from "../common/log.ts";
 
@@ -32,16 +32,20 @@
 
   /** Takes the headers of an answer to a request sent at `sentAt`; true if news. */
   heard(headers: Headers, sentAt: number, now: number): boolean {
-    const stated = statedLimit(headers[this.#header]);
+    const stated = parseServerLimit(headers[this.#header]);
     if (stated.isErr) {
       const { error: value } = stated;
       this.#log.warn("malformed server limit ignored", { value });
       return false;
     }
     const perSecond = stated.value;
-    const heardAt = perSecond === undefined ? sentAt : now;
-    const observation = { perSecond, by: this.#instance, heardAt };
-    if (this.#limits.learn(SERVER, observation) !== "changed") return false;
+    const observedAt = perSecond === undefined ? sentAt : now;
+    const observation = {
+      perSecond,
+      by: this.#instance,
+      observedAt: observedAt,
+    };
+    if (this.#limits.observe(SERVER, observation) !== "changed") return false;
     if (perSecond === undefined) this.#log.info("server limit ended");
     else this.#log.info("server limit stated", { perSecond });
     return true;
--- a/packages/daemon/src/sidecar/version_guard.ts
+++ b/packages/daemon/src/sidecar/version_guard.ts
@@ -4,7 +4,10 @@
  * first evidence that it is bad.
  * @module
  */
-import { endInForce, VersionHold } from "@sycamorepulley/decisions";
+import {
+  effectiveOutcome,
+  VersionFailureDetector,
+} from "@sycamorepulley/decisions";
 import { decodeStoredMove, encodeStoredMove } from "../moves/stored_move.ts";
 import type { StoredMove } from "../moves/stored_move.ts";
 
@@ -19,7 +22,7 @@
 export class VersionGuard {
   readonly #version: string | undefined;
   readonly #records = new Map<string, StoredMove>();
-  readonly #hold = new VersionHold();
+  readonly #hold = new VersionFailureDetector();
   #heldUntil = Number.NEGATIVE_INFINITY;
 
   constructor(version: string | undefined) {
@@ -48,9 +51,9 @@
     wall: number,
   ): void {
     if (!this.#onTrial(wall)) return;
-    this.#hold.ended(call.route, call.failed);
-    if (this.#hold.heldFor === undefined) return;
-    this.#hold.release();
+    this.#hold.recordCall(call.route, call.failed);
+    if (this.#hold.failingRoute === undefined) return;
+    this.#hold.reset();
     this.#heldUntil = now + HOLD_DURATION;
   }
 
@@ -61,7 +64,8 @@
 
   #onTrial(wall: number): boolean {
     return [...this.#records.values()].some(({ record }) =>
-      record.to === this.#version && endInForce(record, wall) === "running"
+      record.to === this.#version &&
+      effectiveOutcome(record, wall) === "running"
     );
   }
 }
--- a/packages/decisions/src/discovery/server_directory.ts
+++ b/packages/decisions/src/discovery/server_directory.ts
@@ -47,7 +47,7 @@
    * States that the store answered; notices the end of an outage. A watch that had
    * nothing to tell for long is none.
    */
-  heard(now: number): void {
+  recordStoreResponse(now: number): void {
     const silence = now - (this.#heardAt ?? now);
     if (this.#failed && silence > OUTAGE_AFTER) this.#outageEndedAt = now;
     this.#heardAt = now;
@@ -55,7 +55,7 @@
   }
 
   /** States that a call to the store failed. */
-  failed(): void {
+  recordStoreFailure(): void {
     this.#failed = true;
   }
 
--- a/packages/decisions/src/dispatch/ask_queue.ts
+++ b/packages/decisions/src/dispatch/ask_queue.ts
@@ -1,13 +1,13 @@
 /** Asks that wait, in the order of {@link askKey}. @module */
 import { IndexedHeap, OUTSIDE_HEAP } from "../queueing/indexed_heap.ts";
 import type { HeapItem } from "../queueing/indexed_heap.ts";
-import type { Ask, AskStanding } from "./ask.ts";
+import type { AskStanding, GrantRequest } from "./grant_request.ts";
 import { askKey } from "./ask_value.ts";
 import type { SizedKind } from "./size_shares.ts";
 
 /** One waiting ask; `key` is its place in the order. */
 export class WaitingAsk implements HeapItem {
-  readonly ask: Ask;
+  readonly ask: GrantRequest;
   /** Instant after which it can't be on time, or is of no use any more. */
   changesAt: number;
   readonly standing: AskStanding;
@@ -18,7 +18,7 @@
   heapIndex = OUTSIDE_HEAP;
 
   constructor(
-    ask: Ask,
+    ask: GrantRequest,
     place: {
       standing: AskStanding;
       changesAt: number;
--- a/packages/decisions/src/dispatch/ask_value.ts
+++ b/packages/decisions/src/dispatch/ask_value.ts
@@ -8,7 +8,7 @@
  * can still be on time.
  * @module
  */
-import type { Ask, AskStanding } from "./ask.ts";
+import type { AskStanding, GrantRequest } from "./grant_request.ts";
 import { nominalUse } from "./pace.ts";
 
 /**
@@ -33,7 +33,7 @@
  * others of its tier.
  */
 export function askKey(
-  ask: Ask,
+  ask: GrantRequest,
   standing: AskStanding,
   value: number,
 ): number {
--- a/packages/decisions/src/dispatch/ask.ts
+++ b/packages/decisions/src/dispatch/grant_request.ts
@@ -5,7 +5,7 @@
  * Times are milliseconds of the granting entry's own clock. The request itself,
  * with its body, stays with the entry that asks.
  */
-export type Ask = {
+export type GrantRequest = {
   /** Unique among all asks: the asking entry's incarnation and a number. */
   id: string;
   /** Instance name of the entry that asks. */
@@ -23,21 +23,21 @@
   charge: number;
   arrived: number;
   /** Instant by which the first answer is on time. */
-  goalAt: number;
+  latencyGoalAt: number;
   /** Instant after which a grant is of no use any more. */
-  lapsesAt: number;
+  expiresAt: number;
   /** Instant by which the answer must be whole. */
-  endsAt: number;
+  deadline: number;
   /** The same for each try of one request by its caller. */
   fingerprint: string;
   /** In [0, 1): spreads what is asked of several callers at once. */
-  spread: number;
+  jitter: number;
   /** Servers that this request was sent to before. */
-  avoid: readonly string[];
+  excludedServers: readonly string[];
 };
 
 /** Why an ask was turned away; none of them has run for it. */
-export type AskRefusal = "quota" | "overload" | "no_server" | "expired";
+export type GrantRefusalReason = "quota" | "overload" | "no_server" | "expired";
 
 /**
  * Whether an ask can be on time, and whether its caller was refused before.
@@ -56,18 +56,18 @@
 };
 
 /** What became of an ask. */
-export type AskVerdict =
-  | { kind: "grant"; ask: Ask; server: string }
+export type GrantDecision =
+  | { kind: "grant"; request: GrantRequest; server: string }
   | {
     kind: "refuse";
-    ask: Ask;
-    reason: AskRefusal;
+    request: GrantRequest;
+    reason: GrantRefusalReason;
     retryAfter: number;
-    seen: RefusalInputs;
+    inputs: RefusalInputs;
   };
 
 /** How a granted request ended at its server. */
-export type RunEnd =
+export type RunOutcome =
   /** A whole answer. */
   | "answered"
   /** The server answered with a failure of its own. */
--- a/packages/decisions/src/dispatch/desk.ts
+++ b/packages/decisions/src/dispatch/group_scheduler.ts
@@ -4,16 +4,20 @@
  * @module
  */
 import type { ServerRecord } from "../discovery/mod.ts";
-import type { GroupParts } from "../fleet/mod.ts";
+import type { GroupFractions } from "../fleet/mod.ts";
 import { OrganisationQuotas } from "../quotas/mod.ts";
 import type { Quota, QuotaLeeway } from "../quotas/mod.ts";
 import { ServerLimits } from "../server_limits/mod.ts";
-import type { Ask, AskVerdict, RunEnd } from "./ask.ts";
-import type { AnswerPace } from "./server_room.ts";
-import { ServiceDesk } from "./service_desk.ts";
+import type {
+  GrantDecision,
+  GrantRequest,
+  RunOutcome,
+} from "./grant_request.ts";
+import type { StreamTiming } from "./server_room.ts";
+import { ServiceScheduler } from "./service_scheduler.ts";
 
 /** Ends after which the quota's charge is taken back. */
-const NOT_RUN: ReadonlySet<RunEnd> = new Set<RunEnd>([
+const NOT_RUN: ReadonlySet<RunOutcome> = new Set<RunOutcome>([
   "connection_refused",
   "connection_timeout",
   "not_run",
@@ -38,14 +42,14 @@
   granted: number;
 };
 
-/** Grants for a group of entries; verdicts are drawn by {@link Desk.verdicts}. */
-export class Desk {
-  readonly #services = new Map<string, ServiceDesk>();
+/** Grants for a group of entries; verdicts are drawn by {@link GroupScheduler.decide}. */
+export class GroupScheduler {
+  readonly #services = new Map<string, ServiceScheduler>();
   readonly #quotas: OrganisationQuotas;
   /** Asks that wait or run. */
-  readonly #asks = new Map<string, Ask>();
+  readonly #asks = new Map<string, GrantRequest>();
   readonly #limits: ServerLimits;
-  #parts: GroupParts = { room: 1, quota: 1 };
+  #parts: GroupFractions = { room: 1, quota: 1 };
 
   /** `limits`: what servers state of what they accept; nothing if absent. */
   constructor(leeway: QuotaLeeway, limits = new ServerLimits()) {
@@ -75,9 +79,9 @@
   }
 
   /** Takes over quotas, and the group's parts. */
-  setShares(
+  setQuotas(
     quotas: ReadonlyMap<string, Quota>,
-    parts: GroupParts,
+    parts: GroupFractions,
     now: number,
   ): void {
     this.#parts = parts;
@@ -86,80 +90,90 @@
   }
 
   /** Queues an ask, or turns it away at once; one that is known stays as it is. */
-  ask(ask: Ask, now: number): AskVerdict | undefined {
-    if (this.#asks.has(ask.id)) return undefined;
-    const wait = this.#quotas.waitFor(ask.organisation, ask.charge, now);
-    if (now + wait > ask.lapsesAt) {
-      const soonest = SOONEST_RETRY * (1 + ask.spread);
+  submit(request: GrantRequest, now: number): GrantDecision | undefined {
+    if (this.#asks.has(request.id)) return undefined;
+    const wait = this.#quotas.waitFor(
+      request.organisation,
+      request.charge,
+      now,
+    );
+    if (now + wait > request.expiresAt) {
+      const soonest = SOONEST_RETRY * (1 + request.jitter);
       const retryAfter = Math.max(wait, soonest);
-      const seen = this.#service(ask.service).seen(ask, now);
-      return { kind: "refuse", ask, reason: "quota", retryAfter, seen };
+      const inputs = this.#service(request.service).seen(request, now);
+      return {
+        kind: "refuse",
+        request: request,
+        reason: "quota",
+        retryAfter,
+        inputs: inputs,
+      };
     }
-    const verdict = this.#service(ask.service).ask(ask, now);
-    if (verdict === undefined) this.#asks.set(ask.id, ask);
+    const verdict = this.#service(request.service).submit(request, now);
+    if (verdict === undefined) this.#asks.set(request.id, request);
     return verdict;
   }
 
   /** The request did not run: it no longer waits, or its grant went unused. */
-  withdraw(ask: Ask): void {
+  withdraw(ask: GrantRequest): void {
     if (this.#remove(ask)) {
       this.#quotas.refund(ask.organisation, ask.charge);
     }
   }
 
   /** Another entry counts the ask from now on; what it was charged stands. */
-  release(ask: Ask): void {
+  release(ask: GrantRequest): void {
     this.#remove(ask);
   }
 
   /** True if the ask was granted. */
-  #remove(ask: Ask): boolean {
+  #remove(ask: GrantRequest): boolean {
     if (!this.#asks.delete(ask.id)) return false;
     return this.#services.get(ask.service)?.withdraw(ask.id) ?? false;
   }
 
   /** Counts a run that another entry granted before. */
-  adopt(ask: Ask, server: string): void {
+  adopt(ask: GrantRequest, server: string): void {
     this.#asks.set(ask.id, ask);
     this.#service(ask.service).adopt(ask, server);
   }
 
-  /** See {@link ServiceDesk.firstAnswer}. */
-  firstAnswer(id: string, measured: number, now: number): void {
-    this.#deskOf(id)?.firstAnswer(id, measured, now);
+  /** See {@link ServiceScheduler.recordResponseStart}. */
+  recordResponseStart(id: string, measured: number, now: number): void {
+    this.#deskOf(id)?.recordResponseStart(id, measured, now);
   }
 
-  /** See {@link ServiceDesk.restAnswered}. */
-  restAnswered(id: string, pace: AnswerPace, now: number): void {
-    this.#deskOf(id)?.restAnswered(id, pace, now);
+  /** See {@link ServiceScheduler.recordStreamTiming}. */
+  recordStreamTiming(id: string, pace: StreamTiming, now: number): void {
+    this.#deskOf(id)?.recordStreamTiming(id, pace, now);
   }
 
-  /** See {@link ServiceDesk.ended}. */
-  ended(id: string, end: RunEnd, now: number): void {
+  /** See {@link ServiceScheduler.recordEnd}. */
+  recordEnd(id: string, end: RunOutcome, now: number): void {
     const ask = this.#asks.get(id);
     if (ask === undefined) return;
     this.#asks.delete(id);
-    this.#services.get(ask.service)?.ended(id, end, now);
+    this.#services.get(ask.service)?.recordEnd(id, end, now);
     if (!NOT_RUN.has(end)) return;
     this.#quotas.refund(ask.organisation, ask.charge);
   }
 
   /** Drops all that an entry asked for. */
-  forgetEntry(entry: string): void {
+  removeEntry(entry: string): void {
     for (const [id, ask] of this.#asks) {
       if (ask.entry === entry) this.#asks.delete(id);
     }
-    for (const desk of this.#services.values()) desk.forgetEntry(entry);
+    for (const desk of this.#services.values()) desk.removeEntry(entry);
   }
 
   /** Everything that can be decided now. */
-  verdicts(now: number): AskVerdict[] {
-    const verdicts: AskVerdict[] = [];
+  decide(now: number): GrantDecision[] {
+    const verdicts: GrantDecision[] = [];
     for (const desk of this.#services.values()) {
-      verdicts.push(...desk.verdicts(now));
+      verdicts.push(...desk.decide(now));
     }
     for (const verdict of verdicts) {
-      if (verdict.kind === "refuse") this.#asks.delete(verdict.ask.id);
+      if (verdict.kind === "refuse") this.#asks.delete(verdict.request.id);
     }
     return verdicts;
   }
@@ -175,15 +189,15 @@
     }));
   }
 
-  #deskOf(id: string): ServiceDesk | undefined {
+  #deskOf(id: string): ServiceScheduler | undefined {
     const ask = this.#asks.get(id);
     return ask && this.#services.get(ask.service);
   }
 
-  #service(name: string): ServiceDesk {
+  #service(name: string): ServiceScheduler {
     let desk = this.#services.get(name);
     if (desk === undefined) {
-      desk = new ServiceDesk(this.#quotas, this.#limits);
+      desk = new ServiceScheduler(this.#quotas, this.#limits);
       desk.setParts(this.#parts);
       this.#services.set(name, desk);
     }
--- a/packages/decisions/src/dispatch/mod.ts
+++ b/packages/decisions/src/dispatch/mod.ts
@@ -1,12 +1,12 @@
 /** Which backend server a request is sent to, and when. @module */
 export type {
-  Ask,
-  AskRefusal,
-  AskVerdict,
+  GrantDecision,
+  GrantRefusalReason,
+  GrantRequest,
   RefusalInputs,
-  RunEnd,
-} from "./ask.ts";
-export { Desk } from "./desk.ts";
-export type { ServiceLoad } from "./desk.ts";
-export type { AnswerPace } from "./server_room.ts";
-export { ServiceDesk } from "./service_desk.ts";
+  RunOutcome,
+} from "./grant_request.ts";
+export { GroupScheduler } from "./group_scheduler.ts";
+export type { ServiceLoad } from "./group_scheduler.ts";
+export type { StreamTiming } from "./server_room.ts";
+export { ServiceScheduler } from "./service_scheduler.ts";
--- a/packages/decisions/src/dispatch/quota_reservations.ts
+++ b/packages/decisions/src/dispatch/quota_reservations.ts
@@ -9,13 +9,13 @@
  * @module
  */
 import type { OrganisationQuotas } from "../quotas/mod.ts";
-import type { Ask } from "./ask.ts";
+import type { GrantRequest } from "./grant_request.ts";
 
 /** Quota reservations in the queue of one service, at most one per organisation. */
 export class QuotaReservations {
   readonly #quotas: OrganisationQuotas;
   /** The ask that holds the reservation, by organisation. */
-  readonly #holders = new Map<string, Ask>();
+  readonly #holders = new Map<string, GrantRequest>();
 
   constructor(quotas: OrganisationQuotas) {
     this.#quotas = quotas;
@@ -25,7 +25,7 @@
    * True if the ask can be charged now. Otherwise reserves the organisation's
    * tokens for it, unless another ask already holds the reservation.
    */
-  allows(ask: Ask, now: number): boolean {
+  allows(ask: GrantRequest, now: number): boolean {
     const { organisation, charge } = ask;
     const holder = this.#holders.get(organisation) ?? ask;
     const needed = holder.id === ask.id ? charge : charge + holder.charge;
@@ -35,7 +35,7 @@
   }
 
   /** Releases the organisation's reservation if this ask holds it. */
-  release(ask: Ask): void {
+  release(ask: GrantRequest): void {
     if (this.#holders.get(ask.organisation)?.id !== ask.id) return;
     this.#holders.delete(ask.organisation);
   }
--- a/packages/decisions/src/dispatch/retry_after.ts
+++ b/packages/decisions/src/dispatch/retry_after.ts
@@ -1,5 +1,5 @@
 /** When a caller that is refused may come back. @module */
-import type { Ask, AskRefusal } from "./ask.ts";
+import type { GrantRefusalReason, GrantRequest } from "./grant_request.ts";
 
 /** Milliseconds while there is no server. */
 const RETRY_WITHOUT_SERVER = 300;
@@ -14,11 +14,15 @@
 const RETRY_SPREAD_PART = 0.5;
 
 /** Milliseconds from `now` on. */
-export function retryAfter(ask: Ask, reason: AskRefusal, now: number): number {
+export function retryAfter(
+  ask: GrantRequest,
+  reason: GrantRefusalReason,
+  now: number,
+): number {
   if (reason === "no_server") return RETRY_WITHOUT_SERVER;
   const longest = Math.min(
     LONGEST_RETRY,
-    Math.max(0, ask.endsAt - now) * LONGEST_RETRY_PART,
+    Math.max(0, ask.deadline - now) * LONGEST_RETRY_PART,
   );
-  return longest * (1 - RETRY_SPREAD_PART * ask.spread);
+  return longest * (1 - RETRY_SPREAD_PART * ask.jitter);
 }
--- a/packages/decisions/src/dispatch/server_room.ts
+++ b/packages/decisions/src/dispatch/server_room.ts
@@ -1,10 +1,10 @@
 /** What one backend server runs for the group, and whether it has room. @module */
 import type { ServerRecord } from "../discovery/mod.ts";
-import type { GroupParts } from "../fleet/mod.ts";
+import type { GroupFractions } from "../fleet/mod.ts";
 import type { Cost } from "../queueing/mod.ts";
 import { LimitedPace, pacedRate } from "../server_limits/mod.ts";
 import type { ServerLimit } from "../server_limits/mod.ts";
-import type { Ask } from "./ask.ts";
+import type { GrantRequest } from "./grant_request.ts";
 import { nominalFirst, nominalRest, Pace } from "./pace.ts";
 import { ReadingLimit } from "./reading_limit.ts";
 
@@ -30,7 +30,7 @@
 export type ServicePaces = { first: number; rest: number };
 
 /** Of the part that an answer had beyond its first token. */
-export type AnswerPace = {
+export type StreamTiming = {
   tokens: number;
   /** Milliseconds that they took. */
   measured: number;
@@ -48,7 +48,7 @@
 
 /** What an entry may use of a server; see `GroupParts`. */
 export type RoomBounds = {
-  parts: GroupParts;
+  parts: GroupFractions;
   /** What the server accepts from all entries together, if it states it. */
   limit: ServerLimit | undefined;
 };
@@ -102,7 +102,7 @@
    * limit of the service's servers.
    */
   admits(
-    ask: Ask,
+    ask: GrantRequest,
     view: { paces: ServicePaces; largestLimit: number },
     now: number,
   ): boolean {
@@ -113,7 +113,7 @@
     if (!this.#mayRead(cost.promptTokens, largestLimit)) return false;
     const rest = this.#rest.ratio(now, paces.rest) * nominalRest(cost);
     const slow = this.#rest.ratio(now, paces.rest) > paces.rest;
-    if (slow && rest > LONGEST_RUN_PART * (ask.endsAt - now)) return false;
+    if (slow && rest > LONGEST_RUN_PART * (ask.deadline - now)) return false;
     if (this.#unreadTokens === 0) return true;
     const unread = nominalFirst(cost, this.#unreadTokens) -
       nominalFirst({ promptTokens: 1, outputTokens: 0 });
@@ -134,7 +134,7 @@
     return this.#rest.ratio(now, paces.rest) * nominalRest(cost);
   }
 
-  started(ask: Ask): void {
+  started(ask: GrantRequest): void {
     const { entry, cost } = ask;
     const unread = cost.promptTokens > 0;
     if (unread) this.#unreadTokens += cost.promptTokens;
@@ -165,7 +165,7 @@
   }
 
   /** All after the first token of an answer came. */
-  restAnswered(id: string, pace: AnswerPace, now: number): void {
+  restAnswered(id: string, pace: StreamTiming, now: number): void {
     const { tokens, measured, pausePart } = pace;
     const cost = { promptTokens: 1, outputTokens: tokens };
     this.#rest.observe(measured, nominalRest(cost), now);
--- a/packages/decisions/src/dispatch/service_rooms.ts
+++ b/packages/decisions/src/dispatch/service_rooms.ts
@@ -5,13 +5,13 @@
  */
 import { incarnationOf } from "../discovery/mod.ts";
 import type { ServerRecord } from "../discovery/mod.ts";
-import { Ejection } from "../ejection/mod.ts";
-import type { GroupParts } from "../fleet/mod.ts";
+import { OutlierEjection } from "../ejection/mod.ts";
+import type { GroupFractions } from "../fleet/mod.ts";
 import { ServerLimits } from "../server_limits/mod.ts";
-import type { Ask, RunEnd } from "./ask.ts";
+import type { GrantRequest, RunOutcome } from "./grant_request.ts";
 import { nominalFirst, nominalRest, Pace } from "./pace.ts";
 import { ServerRoom } from "./server_room.ts";
-import type { AnswerPace, RoomBounds, ServicePaces } from "./server_room.ts";
+import type { RoomBounds, ServicePaces, StreamTiming } from "./server_room.ts";
 
 /**
  * Milliseconds that a server of another data centre must be faster by, to be
@@ -34,16 +34,16 @@
 };
 
 /** A granted ask and its server. */
-export type Granted = { ask: Ask; server: string };
+export type Granted = { ask: GrantRequest; server: string };
 
 /** Rooms by the start of the server. */
 export class ServiceRooms {
   readonly #rooms = new Map<string, ServerRoom>();
-  readonly #ejection = new Ejection();
+  readonly #ejection = new OutlierEjection();
   readonly #first = new Pace();
   readonly #rest = new Pace();
   readonly #limits: ServerLimits;
-  #parts: GroupParts = { room: 1, quota: 1 };
+  #parts: GroupFractions = { room: 1, quota: 1 };
 
   /** `limits`: what servers state; nothing if absent. */
   constructor(limits = new ServerLimits()) {
@@ -113,7 +113,7 @@
   }
 
   /** The parts of each server's room and limit that this group uses. */
-  setParts(parts: GroupParts): void {
+  setParts(parts: GroupFractions): void {
     this.#parts = parts;
   }
 
@@ -128,12 +128,16 @@
   }
 
   /** The server with room that is expected to be done soonest. */
-  choose(ask: Ask, view: ServiceView, now: number): string | undefined {
+  choose(
+    ask: GrantRequest,
+    view: ServiceView,
+    now: number,
+  ): string | undefined {
     const { paces } = view;
     let best: string | undefined;
     let bestScore = Infinity;
     for (const [name, room] of view.free) {
-      if (ask.avoid.includes(name)) continue;
+      if (ask.excludedServers.includes(name)) continue;
       if (!room.admits(ask, view, now)) continue;
       if (!this.#ejection.allowed(name, now)) continue;
       const near = room.record.dataCentre === ask.dataCentre;
@@ -154,7 +158,7 @@
     room?.countSend(now);
     const bounds = this.#bounds(server);
     if (!room?.hasPlace(bounds, now)) view.free.delete(server);
-    this.#ejection.started(server, now);
+    this.#ejection.recordStart(server, now);
   }
 
   /** A run that another entry granted; false if its server is unknown. */
@@ -171,11 +175,15 @@
     if (cost === undefined) return;
     const nominal = nominalFirst(cost);
     this.#first.observe(measured, nominal, now);
-    this.#ejection.succeeded(server, now, measured / nominal);
+    this.#ejection.recordSuccess(server, now, measured / nominal);
   }
 
   /** All after the first token of an answer came; call it before `ended`. */
-  restAnswered({ ask, server }: Granted, pace: AnswerPace, now: number): void {
+  restAnswered(
+    { ask, server }: Granted,
+    pace: StreamTiming,
+    now: number,
+  ): void {
     this.#rooms.get(server)?.restAnswered(ask.id, pace, now);
     const cost = { promptTokens: 1, outputTokens: pace.tokens };
     this.#rest.observe(pace.measured, nominalRest(cost), now);
@@ -187,7 +195,7 @@
   }
 
   /** The run is over; `end` tells of its server. */
-  ended(granted: Granted, end: RunEnd, now: number): void {
+  ended(granted: Granted, end: RunOutcome, now: number): void {
     const { ask, server } = granted;
     const room = this.#rooms.get(server);
     if (room === undefined) return;
@@ -206,7 +214,7 @@
         return;
       case "failed":
       case "broken":
-        this.#ejection.failed(server, "error", now);
+        this.#ejection.recordFailure(server, "error", now);
         return;
       default:
     }
@@ -218,12 +226,12 @@
   }
 
   /** Milliseconds to the ask's first answer at a server of middling speed. */
-  expectedFirst(ask: Ask, now: number): number {
+  expectedFirst(ask: GrantRequest, now: number): number {
     return this.#paces(now).first * nominalFirst(ask.cost);
   }
 
   /** Milliseconds for which the ask is expected to take a place. */
-  expectedTime(ask: Ask, now: number): number {
+  expectedTime(ask: GrantRequest, now: number): number {
     const { first, rest } = this.#paces(now);
     return first * nominalFirst(ask.cost) + rest * nominalRest(ask.cost);
   }
--- a/packages/decisions/src/dispatch/service_desk.ts
+++ b/packages/decisions/src/dispatch/service_scheduler.ts
@@ -10,26 +10,26 @@
  * @module
  */
 import type { ServerRecord } from "../discovery/mod.ts";
-import type { GroupParts } from "../fleet/mod.ts";
+import type { GroupFractions } from "../fleet/mod.ts";
 import { OrganisationQuotas } from "../quotas/mod.ts";
 import type { QuotaLeeway } from "../quotas/mod.ts";
 import { ServerLimits } from "../server_limits/mod.ts";
 import { AnswerValue } from "./answer_value.ts";
 import type {
-  Ask,
-  AskRefusal,
   AskStanding,
-  AskVerdict,
+  GrantDecision,
+  GrantRefusalReason,
+  GrantRequest,
   RefusalInputs,
-  RunEnd,
-} from "./ask.ts";
+  RunOutcome,
+} from "./grant_request.ts";
 import { AskQueue, WaitingAsk } from "./ask_queue.ts";
 import { GrantRate } from "./grant_rate.ts";
 import { QuotaReservations } from "./quota_reservations.ts";
 import { retryAfter } from "./retry_after.ts";
 import { ReturningCallers } from "./returning_callers.ts";
 import { nominalUse } from "./pace.ts";
-import type { AnswerPace } from "./server_room.ts";
+import type { StreamTiming } from "./server_room.ts";
 import { ServiceRooms } from "./service_rooms.ts";
 import type { Granted, ServiceView } from "./service_rooms.ts";
 import { SizeShares } from "./size_shares.ts";
@@ -40,7 +40,7 @@
 const MOST_PASSED_OVER = 40;
 
 /** Grants servers of one service. Verdicts are drawn by `verdicts`. */
-export class ServiceDesk {
+export class ServiceScheduler {
   readonly #rooms: ServiceRooms;
   readonly #rate = new GrantRate();
   readonly #value = new AnswerValue();
@@ -88,15 +88,16 @@
   }
 
   /** See {@link ServiceRooms.setParts}. */
-  setParts(parts: GroupParts): void {
+  setParts(parts: GroupFractions): void {
     this.#rooms.setParts(parts);
   }
 
   /** Queues an ask, or turns it away at once. */
-  ask(ask: Ask, now: number): AskVerdict | undefined {
+  submit(ask: GrantRequest, now: number): GrantDecision | undefined {
     // Held until its end, a request that every server was tried for would get
     // the same answer, only later.
-    const tried = ask.avoid.filter((name) => this.#rooms.has(name)).length;
+    const tried =
+      ask.excludedServers.filter((name) => this.#rooms.has(name)).length;
     if (tried >= this.#rooms.size) {
       return this.#refusal(ask, "no_server", now);
     }
@@ -119,27 +120,27 @@
   }
 
   /** Counts a run that another entry granted before. */
-  adopt(ask: Ask, server: string): void {
+  adopt(ask: GrantRequest, server: string): void {
     if (this.#granted.has(ask.id)) return;
     const granted = { ask, server };
     if (this.#rooms.adopted(granted)) this.#granted.set(ask.id, granted);
   }
 
   /** The first answer came `measured` milliseconds after the request was sent. */
-  firstAnswer(id: string, measured: number, now: number): void {
+  recordResponseStart(id: string, measured: number, now: number): void {
     const granted = this.#granted.get(id);
     if (granted !== undefined) this.#rooms.firstAnswer(granted, measured, now);
   }
 
   /** All after the first token of an answer came; call it before `ended`. */
-  restAnswered(id: string, pace: AnswerPace, now: number): void {
+  recordStreamTiming(id: string, pace: StreamTiming, now: number): void {
     const granted = this.#granted.get(id);
     if (granted === undefined || pace.tokens <= 0) return;
     this.#rooms.restAnswered(granted, pace, now);
   }
 
   /** States how a granted request ended. */
-  ended(id: string, end: RunEnd, now: number): void {
+  recordEnd(id: string, end: RunOutcome, now: number): void {
     const granted = this.#granted.get(id);
     if (granted === undefined) return;
     this.#granted.delete(id);
@@ -147,7 +148,7 @@
   }
 
   /** An entry is gone, and with it its connections to servers. */
-  forgetEntry(entry: string): void {
+  removeEntry(entry: string): void {
     for (const { ask } of [...this.#queue]) {
       if (ask.entry !== entry) continue;
       this.#queue.remove(ask.id);
@@ -160,7 +161,7 @@
   }
 
   /** Everything that can be decided now. */
-  verdicts(now: number): AskVerdict[] {
+  decide(now: number): GrantDecision[] {
     const verdicts = now >= this.#queue.changesAt ? this.#changes(now) : [];
     if (this.#queue.size === 0 || !this.#rooms.hasPlace(now)) return verdicts;
     this.#grantWaiting(verdicts, now);
@@ -168,7 +169,7 @@
   }
 
   /** One sweep is enough: places and quotas only become fewer in it. */
-  #grantWaiting(verdicts: AskVerdict[], now: number): void {
+  #grantWaiting(verdicts: GrantDecision[], now: number): void {
     const view = this.#rooms.view(now);
     let passedOver = 0;
     this.#queue.sweep((waiting) => {
@@ -190,24 +191,24 @@
     });
   }
 
-  #grant(granted: Granted, view: ServiceView, now: number): AskVerdict {
-    const { ask, server } = granted;
-    this.#quotaReservations.release(ask);
-    this.#quotas.charge(ask.organisation, ask.charge, now);
-    this.#granted.set(ask.id, granted);
+  #grant(granted: Granted, view: ServiceView, now: number): GrantDecision {
+    const { ask: request, server } = granted;
+    this.#quotaReservations.release(request);
+    this.#quotas.charge(request.organisation, request.charge, now);
+    this.#granted.set(request.id, granted);
     this.#rooms.started(granted, view, now);
     this.#rate.granted(now);
-    return { kind: "grant", ask, server };
+    return { kind: "grant", request: request, server };
   }
 
-  #waitingOf(ask: Ask, now: number): WaitingAsk {
-    const { cost, lapsesAt } = ask;
+  #waitingOf(ask: GrantRequest, now: number): WaitingAsk {
+    const { cost, expiresAt: lapsesAt } = ask;
     const kind = `${ask.tierRank}.${ask.routeRank}`;
     const returned = this.#returning.returns(ask.fingerprint, now);
     const sizedKind = this.#sizes.asked(kind, cost, returned);
     const ownValue = this.#value.observe(kind, cost);
     const value = this.#sizes.valueOf(sizedKind, cost, ownValue);
-    const latestStart = ask.goalAt - this.#rooms.expectedFirst(ask, now);
+    const latestStart = ask.latencyGoalAt - this.#rooms.expectedFirst(ask, now);
     const timely = latestStart > now;
     const standing = returned ? "returned" : timely ? "timely" : "late";
     const changesAt = standing === "timely" ? latestStart : lapsesAt;
@@ -215,11 +216,11 @@
   }
 
   /** Asks that can't be on time any more, and those nobody waits for. */
-  #changes(now: number): AskVerdict[] {
-    const verdicts: AskVerdict[] = [];
+  #changes(now: number): GrantDecision[] {
+    const verdicts: GrantDecision[] = [];
     for (const waiting of this.#queue.takeDue(now)) {
       const { ask } = waiting;
-      if (ask.lapsesAt <= now) {
+      if (ask.expiresAt <= now) {
         const reason = this.#lapseReason(ask, now);
         verdicts.push(this.#refusal(ask, reason, now, waiting.standing));
         continue;
@@ -229,16 +230,20 @@
     return verdicts;
   }
 
-  #lapseReason(ask: Ask, now: number): AskRefusal {
+  #lapseReason(ask: GrantRequest, now: number): GrantRefusalReason {
     const allowed = this.#quotas.allows(ask.organisation, ask.charge, now);
     return allowed ? "expired" : "quota";
   }
 
-  #becomeLate(waiting: WaitingAsk, now: number, verdicts: AskVerdict[]): void {
+  #becomeLate(
+    waiting: WaitingAsk,
+    now: number,
+    verdicts: GrantDecision[],
+  ): void {
     const { ask, value, sizedKind } = waiting;
     const late = new WaitingAsk(ask, {
       standing: "late",
-      changesAt: ask.lapsesAt,
+      changesAt: ask.expiresAt,
       value,
       sizedKind,
     });
@@ -258,24 +263,24 @@
   }
 
   #refusal(
-    ask: Ask,
-    reason: AskRefusal,
+    request: GrantRequest,
+    reason: GrantRefusalReason,
     now: number,
     standing?: AskStanding,
-  ): AskVerdict {
-    this.#returning.refused(ask.fingerprint, now);
-    this.#quotaReservations.release(ask);
+  ): GrantDecision {
+    this.#returning.refused(request.fingerprint, now);
+    this.#quotaReservations.release(request);
     return {
       kind: "refuse",
-      ask,
+      request: request,
       reason,
-      retryAfter: retryAfter(ask, reason, now),
-      seen: { ...this.seen(ask, now), standing },
+      retryAfter: retryAfter(request, reason, now),
+      inputs: { ...this.seen(request, now), standing },
     };
   }
 
   /** What a refusal goes by. */
-  seen(ask: Ask, now: number): RefusalInputs {
+  seen(ask: GrantRequest, now: number): RefusalInputs {
     const { organisation, charge } = ask;
     return {
       free: this.#rooms.freePlaces,
--- a/packages/decisions/src/ejection/ejection.ts
+++ b/packages/decisions/src/ejection/ejection.ts
@@ -39,7 +39,7 @@
 const TRIAL_LAPSE = 30_000;
 
 /** Servers of one service that may not be asked. */
-export class Ejection {
+export class OutlierEjection {
   readonly #records = new Map<string, ServerRecord>();
   /** Ejected and on trial, longest out first. */
   readonly #out = new Set<string>();
@@ -73,7 +73,7 @@
   }
 
   /** States a hand-over to the server: on trial, one runs at a time. */
-  started(name: string, now: number): void {
+  recordStart(name: string, now: number): void {
     const record = this.#records.get(name);
     if (record?.state === "trial") record.trialRunningUntil = now + TRIAL_LAPSE;
   }
@@ -82,7 +82,7 @@
    * States a whole answer. `slowness` is the measured time to first token over
    * the expected one.
    */
-  succeeded(name: string, now: number, slowness?: number): void {
+  recordSuccess(name: string, now: number, slowness?: number): void {
     const record = this.#records.get(name);
     if (record === undefined) return;
     record.counts.add("success", now);
@@ -99,7 +99,7 @@
   }
 
   /** States a failure of the server's own making, not of the request's. */
-  failed(name: string, reason: FailureReason, now: number): void {
+  recordFailure(name: string, reason: FailureReason, now: number): void {
     const record = this.#records.get(name);
     if (record === undefined) return;
     record.counts.add("failure", now);
@@ -114,7 +114,7 @@
   }
 
   /** Names left out or on trial. */
-  get out(): ReadonlySet<string> {
+  get excluded(): ReadonlySet<string> {
     return this.#out;
   }
 
--- a/packages/decisions/src/estimates/cost_estimator.ts
+++ b/packages/decisions/src/estimates/cost_estimator.ts
@@ -13,7 +13,7 @@
  * four, so that long and short requests of one route are told apart.
  * @module
  */
-import type { Cost } from "../queueing/waiting.ts";
+import type { Cost } from "../queueing/waiting_reservation.ts";
 import { BoundedMap } from "./bounded_map.ts";
 import { RunningMean } from "./running_mean.ts";
 
--- a/packages/decisions/src/estimates/service_time_estimator.ts
+++ b/packages/decisions/src/estimates/service_time_estimator.ts
@@ -15,7 +15,7 @@
  * refuses the longest work on all engines.
  * @module
  */
-import type { Cost } from "../queueing/waiting.ts";
+import type { Cost } from "../queueing/waiting_reservation.ts";
 
 const MARGIN = 1.5;
 /** What one answer takes from the weight of those before it. */
@@ -53,7 +53,7 @@
   }
 
   /** Milliseconds from the hand-over to the end of the answer. */
-  expected(cost: Cost): number {
+  expectedTotal(cost: Cost): number {
     return this.expectedFirstToken(cost) +
       Math.max(0, cost.outputTokens - 1) * this.#decoding / this.#outputs;
   }
@@ -67,12 +67,12 @@
   }
 
   /** Milliseconds from the hand-over within which most answers are whole. */
-  likelyWithin(cost: Cost): number {
-    return MARGIN * this.expected(cost);
+  conservativeTotal(cost: Cost): number {
+    return MARGIN * this.expectedTotal(cost);
   }
 
   /** Milliseconds from the hand-over within which most first tokens come. */
-  likelyFirstTokenWithin(cost: Cost): number {
+  conservativeFirstToken(cost: Cost): number {
     return MARGIN * this.expectedFirstToken(cost);
   }
 
--- a/packages/decisions/src/fleet/entry_group.ts
+++ b/packages/decisions/src/fleet/entry_group.ts
@@ -11,10 +11,10 @@
  * @module
  */
 import { hashText } from "../placement/hash_text.ts";
-import { DROPPED_PART } from "./entry_roll.ts";
+import { REDUCED_SHARE } from "./membership_list.ts";
 
 /** An entry that may grant, and what its instance can carry. */
-export type AbleEntry = {
+export type GrantCandidate = {
   name: string;
   /** In cores. */
   processors: number;
@@ -25,15 +25,17 @@
  * one with the most processor time, as instances differ widely and all requests of
  * the group pass it; a hash decides among equals.
  */
-export function grantingEntry(able: readonly AbleEntry[]): string | undefined {
-  let best: AbleEntry | undefined;
+export function selectGrantingEntry(
+  able: readonly GrantCandidate[],
+): string | undefined {
+  let best: GrantCandidate | undefined;
   for (const entry of able) {
     if (best === undefined || goesBefore(entry, best)) best = entry;
   }
   return best?.name;
 }
 
-function goesBefore(one: AbleEntry, other: AbleEntry): boolean {
+function goesBefore(one: GrantCandidate, other: GrantCandidate): boolean {
   if (one.processors !== other.processors) {
     return one.processors > other.processors;
   }
@@ -48,10 +50,10 @@
   /** The others certainly count it. */
   listed: boolean;
   /** It asks this entry, and nobody else, for servers. */
-  asks: boolean;
+  asksThisEntry: boolean;
 };
 
-/** What {@link groupParts} goes by. */
+/** What {@link groupFractions} goes by. */
 export type GroupView = {
   present: readonly PresentEntry[];
   /** What is left to each entry that is known; see `EntryRoll.shares`. */
@@ -61,7 +63,7 @@
 };
 
 /** Parts, up to 1, of what all entries share. */
-export type GroupParts = {
+export type GroupFractions = {
   /** Of servers' places: too much of it costs time only. */
   room: number;
   /** Of quotas: never above the whole in sum. */
@@ -69,7 +71,7 @@
 };
 
 /** Shares that all entries have together, as far as this one knows. */
-export function sharesOfFleet(view: Omit<GroupView, "stated">): number {
+export function totalShares(view: Omit<GroupView, "stated">): number {
   const shares = new Map(view.shares);
   for (const entry of view.present) {
     const known = shares.get(entry.name) ?? 0;
@@ -79,13 +81,13 @@
 }
 
 /** The parts that this entry grants from; see the module. */
-export function groupParts(view: GroupView): GroupParts {
+export function groupFractions(view: GroupView): GroupFractions {
   const { present, shares, stated } = view;
-  const asking = present.filter(({ asks }) => asks);
+  const asking = present.filter(({ asksThisEntry: asks }) => asks);
   const full = [...shares].filter(([, share]) => share === 1)
     .map(([name]) => name);
   const counted = new Set([...full, ...asking.map(({ name }) => name)]);
-  const fleet = Math.max(sharesOfFleet(view), stated);
+  const fleet = Math.max(totalShares(view), stated);
   const used = sum(asking.map(ownShare));
   return {
     room: counted.size === 0 ? 0 : asking.length / counted.size,
@@ -95,7 +97,7 @@
 
 /** What an entry goes by: its share, or a part of it once it was dropped. */
 function ownShare({ listed }: PresentEntry): number {
-  return listed ? 1 : DROPPED_PART;
+  return listed ? 1 : REDUCED_SHARE;
 }
 
 function sum(values: Iterable<number>): number {
--- a/packages/decisions/src/fleet/entry_roll.ts
+++ b/packages/decisions/src/fleet/membership_list.ts
@@ -12,14 +12,14 @@
  * Milliseconds for which an entry that is registered no more is still counted:
  * longer than any window of quotas (8 s), and than a restart.
  */
-export const COUNTED_FOR = 10_000;
+export const UNREGISTERED_GRACE_PERIOD = 10_000;
 /** Part of its share that an entry uses which the others count no more. */
-export const DROPPED_PART = 0.2;
+export const REDUCED_SHARE = 0.2;
 /** Milliseconds for which that part is left to it. */
 const LEFT_FOR = 600_000;
 
 /** See the module; times in milliseconds. */
-export class EntryRoll {
+export class MembershipList {
   readonly #registered = new Set<string>();
   /** Entries that are registered no more, and until when they are counted. */
   readonly #departed = new Map<string, number>();
@@ -30,32 +30,36 @@
   replace(names: Iterable<string>, now: number): void {
     const before = [...this.#registered];
     this.#registered.clear();
-    for (const name of names) this.registered(name);
+    for (const name of names) this.markRegistered(name);
     for (const name of before) {
-      if (!this.#registered.has(name)) this.#depart(name, now + COUNTED_FOR);
+      if (!this.#registered.has(name)) {
+        this.#depart(name, now + UNREGISTERED_GRACE_PERIOD);
+      }
     }
   }
 
-  registered(name: string): void {
+  markRegistered(name: string): void {
     this.#registered.add(name);
     this.#departed.delete(name);
     this.#leaving.delete(name);
   }
 
   /** The registration is gone. */
-  lapsed(name: string, now: number): void {
-    if (this.#registered.delete(name)) this.#depart(name, now + COUNTED_FOR);
+  markUnregistered(name: string, now: number): void {
+    if (this.#registered.delete(name)) {
+      this.#depart(name, now + UNREGISTERED_GRACE_PERIOD);
+    }
   }
 
   /** An entry says that it ends: nothing is left to it once it isn't counted. */
-  leaves(name: string): void {
+  markLeaving(name: string): void {
     this.#leaving.add(name);
   }
 
   /** A peer counts the entry for so many milliseconds more. */
-  told(name: string, countedFor: number, now: number): void {
+  mergeFromPeer(name: string, countedFor: number, now: number): void {
     if (this.#registered.has(name)) return;
-    const until = now + Math.min(countedFor, COUNTED_FOR);
+    const until = now + Math.min(countedFor, UNREGISTERED_GRACE_PERIOD);
     this.#depart(name, Math.max(until, this.#departed.get(name) ?? -Infinity));
   }
 
@@ -66,7 +70,9 @@
     for (const [name, until] of this.#departed) {
       times.set(name, Math.max(0, until - now));
     }
-    for (const name of this.#registered) times.set(name, COUNTED_FOR);
+    for (const name of this.#registered) {
+      times.set(name, UNREGISTERED_GRACE_PERIOD);
+    }
     return times;
   }
 
@@ -75,7 +81,7 @@
     this.#forget(now);
     const shares = new Map<string, number>();
     for (const [name, until] of this.#departed) {
-      shares.set(name, now < until ? 1 : DROPPED_PART);
+      shares.set(name, now < until ? 1 : REDUCED_SHARE);
     }
     for (const name of this.#registered) shares.set(name, 1);
     return shares;
--- a/packages/decisions/src/fleet/mod.ts
+++ b/packages/decisions/src/fleet/mod.ts
@@ -1,5 +1,9 @@
 /** Entries that work as one group. @module */
-export { grantingEntry, groupParts, sharesOfFleet } from "./entry_group.ts";
+export {
+  groupFractions,
+  selectGrantingEntry,
+  totalShares,
+} from "./entry_group.ts";
 export {
   HEARTBEAT_EVERY,
   heartbeatRecipients,
@@ -8,15 +12,18 @@
   SILENT_AFTER,
   SUSPECTED_AFTER,
 } from "./heartbeat_plan.ts";
-export { COUNTED_FOR, EntryRoll } from "./entry_roll.ts";
+export {
+  MembershipList,
+  UNREGISTERED_GRACE_PERIOD,
+} from "./membership_list.ts";
 export { StatePull } from "./state_pull.ts";
-export { WatchTurns } from "./watch_turns.ts";
+export { WatchTimeouts } from "./watch_timeouts.ts";
 export type { StatePart, StateRequest, StateStep } from "./state_pull.ts";
 export type { HeartbeatPeer } from "./heartbeat_plan.ts";
-export type { WatchGroup } from "./watch_turns.ts";
+export type { WatchGroup } from "./watch_timeouts.ts";
 export type {
-  AbleEntry,
-  GroupParts,
+  GrantCandidate,
+  GroupFractions,
   GroupView,
   PresentEntry,
 } from "./entry_group.ts";
--- a/packages/decisions/src/fleet/state_pull.ts
+++ b/packages/decisions/src/fleet/state_pull.ts
@@ -50,25 +50,25 @@
   #transfer: Transfer | undefined;
 
   /** States which revision a peer has. */
-  offered(peer: string, revision: number): void {
+  recordOffer(peer: string, revision: number): void {
     this.#offers.set(peer, revision);
   }
 
   /** A peer is heard no more. */
-  lost(peer: string): void {
+  removePeer(peer: string): void {
     this.#offers.delete(peer);
     this.#failed.delete(peer);
     if (this.#transfer?.peer === peer) this.#transfer = undefined;
   }
 
   /** What a peer sent was spoilt on the way. */
-  failed(peer: string): void {
+  markCorrupted(peer: string): void {
     this.#failed.add(peer);
     this.#transfer = undefined;
   }
 
   /** What came whole can't be used: it isn't asked for again. */
-  unusable(revision: number): void {
+  markUnusable(revision: number): void {
     this.#unusable = Math.max(this.#unusable, revision);
     this.#transfer = undefined;
   }
@@ -77,7 +77,11 @@
    * The first part of a transfer, if one is to begin. `known` is the revision
    * held here; `draw` in [0, 1) chooses among the peers.
    */
-  next(known: number, now: number, draw: number): StateRequest | undefined {
+  nextRequest(
+    known: number,
+    now: number,
+    draw: number,
+  ): StateRequest | undefined {
     const newest = Math.max(0, ...this.#offers.values());
     if (newest <= Math.max(known, this.#unusable)) {
       this.#behindSince = undefined;
@@ -99,7 +103,7 @@
     });
   }
 
-  received(peer: string, part: StatePart, now: number): StateStep {
+  receivePart(peer: string, part: StatePart, now: number): StateStep {
     const transfer = this.#transfer;
     if (transfer?.peer !== peer) return { kind: "ignored" };
     const { revision, offset, total, bytes } = part;
@@ -108,7 +112,7 @@
       const anew = { peer, revision, offset: 0, parts: [], askedAt: now };
       if (offset > 0) return { kind: "ask", request: this.#ask(anew) };
       this.#transfer = anew;
-      return this.received(peer, part, now);
+      return this.receivePart(peer, part, now);
     }
     const next = offset === transfer.offset && bytes.length > 0;
     if (!next) return { kind: "ignored" };
--- a/packages/decisions/src/fleet/watch_turns.ts
+++ b/packages/decisions/src/fleet/watch_timeouts.ts
@@ -25,7 +25,7 @@
 export type WatchGroup = { rank: number; size: number };
 
 /** The waits of one watch, one after the other. */
-export class WatchTurns {
+export class WatchTimeouts {
   readonly #shortest: number;
   #turn = 0;
 
@@ -40,7 +40,7 @@
   }
 
   /** Milliseconds. */
-  next({ rank, size }: WatchGroup): number {
+  nextTimeout({ rank, size }: WatchGroup): number {
     const place = (rank + this.#turn) % size;
     this.#turn++;
     return Math.min(LONGEST_WAIT, this.#shortest * (place + 1));
--- a/packages/decisions/src/granting/mod.ts
+++ b/packages/decisions/src/granting/mod.ts
@@ -1,4 +1,10 @@
 /** Reservations, grants and their redemption at the sidecar. @module */
-export { GRANT_LAPSE, GrantDesk } from "./grant_desk.ts";
-export type { Redemption } from "./grant_desk.ts";
-export type { GrantDecision, RefusalCause } from "./grant_decision.ts";
+export {
+  GRANT_TIMEOUT,
+  ReservationScheduler,
+} from "./reservation_scheduler.ts";
+export type { Redemption } from "./reservation_scheduler.ts";
+export type {
+  ReservationDecision,
+  ReservationRefusalReason,
+} from "./reservation_decision.ts";
--- a/packages/decisions/src/granting/grant_decision.ts
+++ b/packages/decisions/src/granting/reservation_decision.ts
@@ -1,7 +1,7 @@
 /** What the grant desk tells the entry that made a reservation. @module */
 
 /** Why a reservation ended without a dispatch. */
-export type RefusalCause =
+export type ReservationRefusalReason =
   | "queue_full"
   | "evicted"
   | "deadline"
@@ -11,6 +11,6 @@
   | "version_stopped";
 
 /** `lapse` is milliseconds; `id` is the reservation's. */
-export type GrantDecision =
+export type ReservationDecision =
   | { kind: "grant"; id: string; grant: number; lapse: number }
-  | { kind: "refuse"; id: string; reason: RefusalCause };
+  | { kind: "refuse"; id: string; reason: ReservationRefusalReason };
--- a/packages/decisions/src/granting/grant_desk.ts
+++ b/packages/decisions/src/granting/reservation_scheduler.ts
@@ -11,15 +11,18 @@
  * @module
  */
 import type { ConcurrencyLimit } from "../limits/mod.ts";
-import type { Waiting, WaitingQueue } from "../queueing/mod.ts";
+import type { WaitingQueue, WaitingReservation } from "../queueing/mod.ts";
 import { LimitedPace } from "../server_limits/mod.ts";
-import type { GrantDecision, RefusalCause } from "./grant_decision.ts";
+import type {
+  ReservationDecision,
+  ReservationRefusalReason,
+} from "./reservation_decision.ts";
 
 /**
  * A round trip within a region takes about 2 ms; an entry that stalls for
  * garbage collection takes tens. Beyond that the room is better offered on.
  */
-export const GRANT_LAPSE = 250;
+export const GRANT_TIMEOUT = 250;
 
 /** Milliseconds that a suspect waits for the server to empty by itself. */
 const SUSPECT_PATIENCE = 1000;
@@ -29,23 +32,29 @@
  */
 const LONGEST_EMPTYING = 30_000;
 
-type OpenGrant = { waiting: Waiting; grant: number; lapsesAt: number };
+type OpenGrant = {
+  waiting: WaitingReservation;
+  grant: number;
+  lapsesAt: number;
+};
 
 /** What a grant's redemption found. */
-export type Redemption = { valid: true; waiting: Waiting } | { valid: false };
+export type Redemption = { valid: true; waiting: WaitingReservation } | {
+  valid: false;
+};
 
 /** Queue, limit and open grants of one backend server. */
-export class GrantDesk {
+export class ReservationScheduler {
   readonly #queue: WaitingQueue;
   readonly #limit: ConcurrencyLimit;
   readonly #granted = new Map<string, OpenGrant>();
-  readonly #running = new Map<string, Waiting>();
+  readonly #running = new Map<string, WaitingReservation>();
   #nextGrant = 1;
   #suspectAtWork: string | undefined;
   readonly #suspectsWaiting = new Set<string>();
   /** When a suspect was first passed over for want of an empty server. */
   #suspectSince: number | undefined;
-  #closed: RefusalCause | undefined;
+  #closed: ReservationRefusalReason | undefined;
   #pace: LimitedPace | undefined;
 
   constructor(options: { queue: WaitingQueue; limit: ConcurrencyLimit }) {
@@ -63,7 +72,7 @@
   }
 
   /** Open grants. */
-  get granted(): number {
+  get openGrants(): number {
     return this.#granted.size;
   }
 
@@ -77,7 +86,10 @@
   }
 
   /** The server takes `perSecond` requests a second; any if `undefined`. */
-  setStatedLimit(perSecond: number | undefined, now: number): GrantDecision[] {
+  setRateLimit(
+    perSecond: number | undefined,
+    now: number,
+  ): ReservationDecision[] {
     if (perSecond === undefined) this.#pace = undefined;
     else {
       this.#pace ??= new LimitedPace(now);
@@ -87,7 +99,7 @@
   }
 
   /** Takes a reservation in, or refuses it; may grant at once. */
-  reserve(waiting: Waiting, now: number): GrantDecision[] {
+  reserve(waiting: WaitingReservation, now: number): ReservationDecision[] {
     if (this.#closed) return [refuse(waiting, this.#closed)];
     const offer = this.#queue.offer(waiting, now);
     if (!offer.queued) return [refuse(waiting, offer.reason)];
@@ -99,7 +111,7 @@
   }
 
   /** Forgets a reservation or an open grant; running requests stay. */
-  withdraw(id: string, now: number): GrantDecision[] {
+  withdraw(id: string, now: number): ReservationDecision[] {
     if (this.#queue.withdraw(id)) {
       this.#forgetSuspect(id);
       return this.#grantAll(now);
@@ -125,7 +137,11 @@
     this.#limit.firstToken(id, now);
   }
 
-  progressed(id: string, outputTokens: number, now: number): GrantDecision[] {
+  progressed(
+    id: string,
+    outputTokens: number,
+    now: number,
+  ): ReservationDecision[] {
     this.#limit.progressed(id, outputTokens, now);
     return this.#grantAll(now);
   }
@@ -135,7 +151,7 @@
     id: string,
     outcome: "ok" | "failed" | "cancelled",
     now: number,
-  ): GrantDecision[] {
+  ): ReservationDecision[] {
     if (!this.#running.delete(id)) return [];
     this.#limit.finished(id, outcome, now);
     this.#releaseSuspect(id);
@@ -143,8 +159,8 @@
   }
 
   /** Lets grants lapse and refuses what can't meet its deadline any more. */
-  tick(now: number): GrantDecision[] {
-    const decisions: GrantDecision[] = [];
+  tick(now: number): ReservationDecision[] {
+    const decisions: ReservationDecision[] = [];
     for (const open of [...this.#granted.values()]) {
       if (open.lapsesAt > now) continue;
       this.#returnGrant(open.waiting.id, now);
@@ -158,9 +174,9 @@
   }
 
   /** Refuses all that waits and all that comes; running requests finish. */
-  close(cause: RefusalCause, now: number): GrantDecision[] {
+  close(cause: ReservationRefusalReason, now: number): ReservationDecision[] {
     this.#closed = cause;
-    const decisions: GrantDecision[] = [];
+    const decisions: ReservationDecision[] = [];
     for (const open of [...this.#granted.values()]) {
       this.#returnGrant(open.waiting.id, now);
       decisions.push(refuse(open.waiting, cause));
@@ -181,8 +197,8 @@
     this.#closed = undefined;
   }
 
-  #grantAll(now: number): GrantDecision[] {
-    const decisions: GrantDecision[] = [];
+  #grantAll(now: number): ReservationDecision[] {
+    const decisions: ReservationDecision[] = [];
     if (this.#closed) return decisions;
     for (;;) {
       const waiting = this.#queue.take(
@@ -199,7 +215,7 @@
    * what it takes down is then only itself. A busy server never empties by
    * itself, so after a while nothing else is let in before the suspect.
    */
-  #admits(waiting: Waiting, now: number): boolean {
+  #admits(waiting: WaitingReservation, now: number): boolean {
     if (this.#suspectAtWork !== undefined) return false;
     if (this.#pace?.allows(now) === false) return false;
     if (waiting.suspect) return this.#admitsSuspect(now);
@@ -221,12 +237,15 @@
     if (this.#suspectsWaiting.size === 0) this.#suspectSince = undefined;
   }
 
-  #drop(waiting: Waiting, reason: RefusalCause): GrantDecision {
+  #drop(
+    waiting: WaitingReservation,
+    reason: ReservationRefusalReason,
+  ): ReservationDecision {
     this.#forgetSuspect(waiting.id);
     return refuse(waiting, reason);
   }
 
-  #grant(waiting: Waiting, now: number): GrantDecision {
+  #grant(waiting: WaitingReservation, now: number): ReservationDecision {
     const grant = this.#nextGrant;
     this.#nextGrant += 1;
     this.#limit.started(waiting.id, waiting.cost, now);
@@ -234,13 +253,13 @@
     this.#granted.set(waiting.id, {
       waiting,
       grant,
-      lapsesAt: now + GRANT_LAPSE,
+      lapsesAt: now + GRANT_TIMEOUT,
     });
     if (waiting.suspect) {
       this.#forgetSuspect(waiting.id);
       this.#suspectAtWork = waiting.id;
     }
-    return { kind: "grant", id: waiting.id, grant, lapse: GRANT_LAPSE };
+    return { kind: "grant", id: waiting.id, grant, lapse: GRANT_TIMEOUT };
   }
 
   #returnGrant(id: string, now: number): void {
@@ -255,6 +274,9 @@
   }
 }
 
-function refuse(waiting: Waiting, reason: RefusalCause): GrantDecision {
+function refuse(
+  waiting: WaitingReservation,
+  reason: ReservationRefusalReason,
+): ReservationDecision {
   return { kind: "refuse", id: waiting.id, reason };
 }
--- a/packages/decisions/src/isolation/mod.ts
+++ b/packages/decisions/src/isolation/mod.ts
@@ -1,8 +1,8 @@
 /** What one service may hold, so that its trouble stays its own. @module */
-export { WaitingAllowance } from "./waiting_allowance.ts";
+export { WaitingRequestLimiter } from "./waiting_request_limiter.ts";
 export type {
   Release,
   WaitingBounds,
   WaitingRefusal,
   WaitingRequest,
-} from "./waiting_allowance.ts";
+} from "./waiting_request_limiter.ts";
--- a/packages/decisions/src/isolation/waiting_allowance.ts
+++ b/packages/decisions/src/isolation/waiting_request_limiter.ts
@@ -33,7 +33,7 @@
   /** 0 is served first. */
   tierRank: number;
   /** Called when the request makes way for a higher tier. */
-  evicted: () => void;
+  onEvicted: () => void;
 };
 
 type Place = WaitingRequest & { held: boolean };
@@ -49,7 +49,7 @@
 const LEAST_CLEARED = 32;
 
 /** Every service's waiting requests at one entry. */
-export class WaitingAllowance {
+export class WaitingRequestLimiter {
   readonly #boundsOf: (service: string) => WaitingBounds;
   readonly #usages = new Map<string, Usage>();
 
@@ -80,7 +80,7 @@
   }
 
   /** Requests and bytes that the service's waiting requests hold. */
-  held(service: string): WaitingBounds {
+  usageOf(service: string): WaitingBounds {
     const usage = this.#usages.get(service);
     return { requests: usage?.requests ?? 0, bytes: usage?.bytes ?? 0 };
   }
@@ -103,7 +103,7 @@
     }
     for (const victim of victims) {
       this.#release(victim, usage);
-      victim.evicted();
+      victim.onEvicted();
     }
     return undefined;
   }
--- a/packages/decisions/src/lifecycle/mod.ts
+++ b/packages/decisions/src/lifecycle/mod.ts
@@ -1,5 +1,5 @@
 /** State machines of requests and processes. @module */
-export { LongestStreams } from "./longest_streams.ts";
+export { StreamDurationBound } from "./stream_duration_bound.ts";
 export { ProcessLifecycle } from "./process_lifecycle.ts";
 export type { ProcessEvent, ProcessState } from "./process_lifecycle.ts";
 export { RequestLifecycle } from "./request_lifecycle.ts";
--- a/packages/decisions/src/lifecycle/longest_streams.ts
+++ b/packages/decisions/src/lifecycle/stream_duration_bound.ts
@@ -23,7 +23,7 @@
 const MARGIN = 1.3;
 
 /** Learns how much longer than estimated streams take. */
-export class LongestStreams {
+export class StreamDurationBound {
   readonly #seen: number[] = [];
   #next = 0;
 
@@ -36,7 +36,7 @@
   }
 
   /** Milliseconds that hardly any stream of this cost exceeds. */
-  longest(cost: Cost): number {
+  upperBound(cost: Cost): number {
     return FIXED_TIME + this.#perToken() * tokensOf(cost);
   }
 
--- a/packages/decisions/src/limits/call_limit.ts
+++ b/packages/decisions/src/limits/call_limit.ts
@@ -12,7 +12,10 @@
  * differ and single slow calls are common.
  * @module
  */
-import type { Cost, Waiting } from "../queueing/waiting.ts";
+import type {
+  Cost,
+  WaitingReservation,
+} from "../queueing/waiting_reservation.ts";
 import { AdaptiveBound } from "./adaptive_bound.ts";
 import { ConcurrencyLimit } from "./concurrency_limit.ts";
 import type { Outcome } from "./concurrency_limit.ts";
@@ -68,8 +71,8 @@
     return Math.max(1, Math.floor(this.#bound.value));
   }
 
-  override admits(waiting: Waiting): boolean {
-    if (this.empty) {
+  override admits(waiting: WaitingReservation): boolean {
+    if (this.isIdle) {
       this.#loneRun.admitted(waiting);
       return true;
     }
--- a/packages/decisions/src/limits/concurrency_limit.ts
+++ b/packages/decisions/src/limits/concurrency_limit.ts
@@ -1,5 +1,8 @@
 /** How much a backend server may run at once. @module */
-import type { Cost, Waiting } from "../queueing/waiting.ts";
+import type {
+  Cost,
+  WaitingReservation,
+} from "../queueing/waiting_reservation.ts";
 
 /** How a running request ended. */
 export type Outcome = "ok" | "failed" | "cancelled";
@@ -10,7 +13,7 @@
  */
 export abstract class ConcurrencyLimit {
   /** Whether there is room for a reservation now; takes none. */
-  abstract admits(waiting: Waiting): boolean;
+  abstract admits(waiting: WaitingReservation): boolean;
 
   /** The request was granted, and holds room from now on. */
   abstract started(id: string, cost: Cost, now: number): void;
@@ -29,7 +32,7 @@
   /** Requests that may run at once; at least 1. */
   abstract get limit(): number;
 
-  get empty(): boolean {
+  get isIdle(): boolean {
     return this.running === 0;
   }
 }
--- a/packages/decisions/src/limits/lone_run.ts
+++ b/packages/decisions/src/limits/lone_run.ts
@@ -3,7 +3,7 @@
  * beside a suspect die with it and become suspects themselves.
  * @module
  */
-import type { Waiting } from "../queueing/waiting.ts";
+import type { WaitingReservation } from "../queueing/waiting_reservation.ts";
 
 /** A suspect is noted when it is admitted and runs alone until it finishes. */
 export class LoneRun {
@@ -16,7 +16,7 @@
   }
 
   /** The server is empty and the reservation may start. */
-  admitted(waiting: Waiting): void {
+  admitted(waiting: WaitingReservation): void {
     this.#admitted = waiting.suspect ? waiting.id : undefined;
   }
 
--- a/packages/decisions/src/limits/passed_over.ts
+++ b/packages/decisions/src/limits/passed_over.ts
@@ -13,7 +13,7 @@
  * short work for the sake of long.
  * @module
  */
-import type { Waiting } from "../queueing/waiting.ts";
+import type { WaitingReservation } from "../queueing/waiting_reservation.ts";
 
 /** As long as a first token may take: nobody notices a shorter wait. */
 const PATIENCE = 1300;
@@ -40,7 +40,7 @@
   #claim: Claim | undefined;
 
   /** Whether room is being kept that this reservation must not take. */
-  bars(waiting: Waiting, long: boolean, now: number): boolean {
+  bars(waiting: WaitingReservation, long: boolean, now: number): boolean {
     const claim = this.#claim;
     if (claim === undefined || claim.id === waiting.id) {
       return false;
@@ -62,7 +62,7 @@
   /** Notes that a reservation found no room although smaller ones may. */
   refused(
     { waiting, long, room, now }: {
-      waiting: Waiting;
+      waiting: WaitingReservation;
       long: boolean;
       room: RefusedRoom;
       now: number;
--- a/packages/decisions/src/limits/running_sequence.ts
+++ b/packages/decisions/src/limits/running_sequence.ts
@@ -1,5 +1,5 @@
 /** A request that an engine runs, as its limit sees it. @module */
-import type { Cost } from "../queueing/waiting.ts";
+import type { Cost } from "../queueing/waiting_reservation.ts";
 
 /** `lastToken` is undefined until the first token. */
 export type RunningSequence = {
--- a/packages/decisions/src/limits/token_limit.ts
+++ b/packages/decisions/src/limits/token_limit.ts
@@ -24,7 +24,10 @@
  * is always admitted when it is the only one, so neither waits for ever.
  * @module
  */
-import type { Cost, Waiting } from "../queueing/waiting.ts";
+import type {
+  Cost,
+  WaitingReservation,
+} from "../queueing/waiting_reservation.ts";
 import { AdaptiveBound } from "./adaptive_bound.ts";
 import { AttainableGoal, UNLOADED_SEQUENCES } from "./attainable_goal.ts";
 import { BetweenTokens } from "./between_tokens.ts";
@@ -119,8 +122,8 @@
   }
 
   /** Takes no room, but notes what was refused and why. */
-  override admits(waiting: Waiting): boolean {
-    if (this.empty) {
+  override admits(waiting: WaitingReservation): boolean {
+    if (this.isIdle) {
       this.#loneRun.admitted(waiting);
       return true;
     }
@@ -195,7 +198,7 @@
 
   /** `barred` where another is to have the room, or a place will come free. */
   #refusedRoom(
-    waiting: Waiting,
+    waiting: WaitingReservation,
     long: boolean,
   ): RefusedRoom | "barred" | undefined {
     if (waiting.suspect) {
@@ -217,7 +220,7 @@
   }
 
   #refusedTokens(
-    waiting: Waiting,
+    waiting: WaitingReservation,
     held: WorkBudget,
     share: number,
   ): RefusedRoom | undefined {
--- a/packages/decisions/src/limits/work_budget.ts
+++ b/packages/decisions/src/limits/work_budget.ts
@@ -1,5 +1,5 @@
 /** What the long, or the short, requests of one engine hold. @module */
-import type { Cost } from "../queueing/waiting.ts";
+import type { Cost } from "../queueing/waiting_reservation.ts";
 
 /** Held from the grant to the end; prefill from the grant to the first token. */
 export class WorkBudget {
--- a/packages/decisions/src/moves/evidence_tally.ts
+++ b/packages/decisions/src/moves/evidence_collector.ts
@@ -16,7 +16,7 @@
 const OTHER_ROUTES = "*";
 
 /** Which of the move's versions served a call. */
-export type Side = "from" | "to";
+export type VersionSide = "from" | "to";
 
 type RouteTally = {
   threshold: RunningQuantile;
@@ -25,17 +25,17 @@
 };
 
 /** Counts per route since the last time they were taken. */
-export class EvidenceTally {
+export class EvidenceCollector {
   readonly #routes = new Map<string, RouteTally>();
 
   /**
    * States that a call ended. `slowness` is the measured time to first token
    * over the expected one; absent for a call that failed before it.
    */
-  ended(
+  recordCall(
     call: {
       route: string;
-      side: Side;
+      side: VersionSide;
       failed: boolean;
       slowness?: number | undefined;
     },
@@ -50,7 +50,7 @@
   }
 
   /** Gives what was counted and starts anew; the thresholds stay. */
-  take(): RouteEvidence[] {
+  flush(): RouteEvidence[] {
     const evidence: RouteEvidence[] = [];
     for (const [route, tally] of this.#routes) {
       const { from, to } = tally;
--- a/packages/decisions/src/moves/mod.ts
+++ b/packages/decisions/src/moves/mod.ts
@@ -1,7 +1,7 @@
 /** Version moves: evidence, judgement, steps and the split of traffic. @module */
 export type { CallCounts, RouteEvidence } from "./evidence.ts";
-export { EvidenceTally, mergeEvidence } from "./evidence_tally.ts";
-export type { Side } from "./evidence_tally.ts";
+export { EvidenceCollector, mergeEvidence } from "./evidence_collector.ts";
+export type { VersionSide } from "./evidence_collector.ts";
 export { MoveJudge } from "./move_judge.ts";
 export type { MoveVerdict } from "./move_judge.ts";
 export { phaseAfter } from "./move_machine.ts";
@@ -14,11 +14,11 @@
 export type { MovePhase, MoveRecord, TakenBackReason } from "./move_record.ts";
 export {
   COMPLETION_GUARD,
-  endInForce,
+  effectiveOutcome,
+  effectiveShare,
   nextStep,
-  shareInForce,
 } from "./move_steps.ts";
-export type { MoveEnd, MoveFacts } from "./move_steps.ts";
-export { VersionHold } from "./version_hold.ts";
-export { trialRequestsOfEntry, VersionSplit } from "./version_split.ts";
+export type { MoveInputs, MoveOutcome } from "./move_steps.ts";
+export { VersionFailureDetector } from "./version_failure_detector.ts";
+export { trialRequestsPerEntry, VersionSplit } from "./version_split.ts";
 export type { SplitBounds } from "./version_split.ts";
--- a/packages/decisions/src/moves/move_steps.ts
+++ b/packages/decisions/src/moves/move_steps.ts
@@ -39,7 +39,7 @@
 const CALLS_PER_STEP = 100;
 
 /** What the driver knows beside the record. */
-export type MoveFacts = {
+export type MoveInputs = {
   verdict: MoveVerdict;
   /** Per route since the move began. */
   evidence: readonly RouteEvidence[];
@@ -48,13 +48,13 @@
 };
 
 /** How a move stands for one process. */
-export type MoveEnd = "running" | "complete" | "takenBack";
+export type MoveOutcome = "running" | "complete" | "takenBack";
 
 /** The end that holds at `now`, also for a copy that cannot be renewed. */
-export function endInForce(
+export function effectiveOutcome(
   record: Pick<MoveRecord, "phase" | "deadline">,
   now: number,
-): MoveEnd {
+): MoveOutcome {
   if (record.phase === "complete") return "complete";
   if (record.phase === "takenBack" || now >= record.deadline) {
     return "takenBack";
@@ -63,8 +63,8 @@
 }
 
 /** The share that entries apply at `now`. */
-export function shareInForce(record: MoveRecord, now: number): number {
-  const end = endInForce(record, now);
+export function effectiveShare(record: MoveRecord, now: number): number {
+  const end = effectiveOutcome(record, now);
   if (end === "complete") return 1;
   return end === "takenBack" ? 0 : record.share;
 }
@@ -72,7 +72,7 @@
 /** The record to write now; undefined when the present one stands. */
 export function nextStep(
   record: MoveRecord,
-  facts: MoveFacts,
+  facts: MoveInputs,
   now: number,
 ): MoveRecord | undefined {
   if (record.phase === "complete" || record.phase === "takenBack") {
@@ -98,7 +98,7 @@
 
 function reasonToTakeBack(
   record: MoveRecord,
-  facts: MoveFacts,
+  facts: MoveInputs,
   now: number,
 ): TakenBackReason | undefined {
   if (facts.verdict.kind === "bad") return facts.verdict.reason;
@@ -120,7 +120,7 @@
  */
 function stepIsOver(
   record: MoveRecord,
-  facts: MoveFacts,
+  facts: MoveInputs,
   now: number,
 ): boolean {
   const done = record.phase === "trial" ? 0 : record.step + 1;
@@ -142,13 +142,13 @@
 const FULL_EVIDENCE_TIME = 0.5;
 const SPARSE_EVIDENCE_TIME = 0.6;
 
-function endedOnNew(facts: MoveFacts): number {
+function endedOnNew(facts: MoveInputs): number {
   return facts.evidence.reduce((sum, route) => sum + route.to.ended, 0);
 }
 
 function advance(
   record: MoveRecord,
-  facts: MoveFacts,
+  facts: MoveInputs,
   options: {
     event: MoveEvent;
     share: number;
--- a/packages/decisions/src/moves/version_hold.ts
+++ b/packages/decisions/src/moves/version_failure_detector.ts
@@ -17,17 +17,17 @@
 const LOWEST_LOG_EVIDENCE = -Math.log(20);
 
 /** Failures of one version at one backend server. */
-export class VersionHold {
+export class VersionFailureDetector {
   readonly #routes = new Map<string, number[]>();
   #heldFor: string | undefined;
 
   /** The route whose failures made the sidecar hold back. */
-  get heldFor(): string | undefined {
+  get failingRoute(): string | undefined {
     return this.#heldFor;
   }
 
   /** States the end of a call; failures of the request's making don't count. */
-  ended(route: string, failed: boolean): void {
+  recordCall(route: string, failed: boolean): void {
     const logs = this.#routes.get(route) ?? BAD_SHARES.map(() => 0);
     this.#routes.set(route, logs);
     for (const [index, share] of BAD_SHARES.entries()) {
@@ -41,7 +41,7 @@
   }
 
   /** Serves again: the driver found that the old version fails as well. */
-  release(): void {
+  reset(): void {
     this.#heldFor = undefined;
     this.#routes.clear();
   }
--- a/packages/decisions/src/moves/version_split.ts
+++ b/packages/decisions/src/moves/version_split.ts
@@ -37,7 +37,7 @@
   }
 
   /** Takes over the bounds of the move's present step. */
-  update(bounds: SplitBounds): void {
+  setBounds(bounds: SplitBounds): void {
     this.#bounds = bounds;
   }
 
@@ -67,7 +67,7 @@
   }
 
   /** States the end, of whatever kind, of a request that was sent to `to`. */
-  ended(): void {
+  requestEnded(): void {
     this.#unended = Math.max(this.#unended - 1, 0);
   }
 
@@ -80,6 +80,6 @@
 }
 
 /** One entry's part of the trial's requests; never zero, so each can show. */
-export function trialRequestsOfEntry(total: number, entries: number): number {
+export function trialRequestsPerEntry(total: number, entries: number): number {
   return Math.max(1, Math.floor(total / Math.max(entries, 1)));
 }
--- a/packages/decisions/src/placement/backend_server_set.ts
+++ b/packages/decisions/src/placement/backend_server_set.ts
@@ -130,7 +130,7 @@
    * Takes a server out of every later choice. Stays in force until `remove`:
    * the instance list lags and would offer the server again for seconds.
    */
-  leaving(name: string): void {
+  markLeaving(name: string): void {
     this.#leaving.add(name);
     const server = this.#known.get(name);
     if (server !== undefined) this.#leave(server);
@@ -152,7 +152,7 @@
   }
 
   /** Names to keep links to; links to others are opened on demand. */
-  linked(): Set<string> {
+  namesToLink(): Set<string> {
     const names = new Set<string>();
     for (const group of this.#groups.values()) {
       for (const subset of group.subsets) {
--- a/packages/decisions/src/placement/reservation_plan.ts
+++ b/packages/decisions/src/placement/reservation_plan.ts
@@ -102,7 +102,7 @@
    * States that reservations were refused, cut or found no server. `next` then
    * places others, for which the service's retry budget is asked first.
    */
-  lost(count = 1): void {
+  markLost(count = 1): void {
     this.#held = Math.max(this.#held - count, 0);
   }
 
--- a/packages/decisions/src/queueing/mod.ts
+++ b/packages/decisions/src/queueing/mod.ts
@@ -1,4 +1,8 @@
 /** Admission and order of waiting reservations. @module */
 export { WaitingQueue } from "./waiting_queue.ts";
 export type { WaitingQueueOptions } from "./waiting_queue.ts";
-export type { Cost, Offer, Waiting } from "./waiting.ts";
+export type {
+  Cost,
+  OfferResult,
+  WaitingReservation,
+} from "./waiting_reservation.ts";
--- a/packages/decisions/src/queueing/place.ts
+++ b/packages/decisions/src/queueing/place.ts
@@ -3,11 +3,11 @@
 import { LinkedNode } from "./linked_list.ts";
 import type { OrganisationAccount } from "./organisation_account.ts";
 import type { OrganisationFlow } from "./organisation_flow.ts";
-import type { Waiting } from "./waiting.ts";
+import type { WaitingReservation } from "./waiting_reservation.ts";
 
 /** Held by the deadline heap, where `key` is the latest instant to start. */
 export class Place {
-  readonly waiting: Waiting;
+  readonly waiting: WaitingReservation;
   readonly work: number;
   key: number;
   heapIndex = OUTSIDE_HEAP;
@@ -17,7 +17,7 @@
   account: OrganisationAccount | undefined;
   flow: OrganisationFlow | undefined;
 
-  constructor(waiting: Waiting, work: number, latestStart: number) {
+  constructor(waiting: WaitingReservation, work: number, latestStart: number) {
     this.waiting = waiting;
     this.work = work;
     this.key = latestStart;
--- a/packages/decisions/src/queueing/tier_queue.ts
+++ b/packages/decisions/src/queueing/tier_queue.ts
@@ -19,7 +19,7 @@
 import { OrganisationFlow } from "./organisation_flow.ts";
 import type { Place } from "./place.ts";
 import { SIZE_CLASSES, sizeClassOf, SUSPECT_CLASS } from "./size_class.ts";
-import type { Waiting } from "./waiting.ts";
+import type { WaitingReservation } from "./waiting_reservation.ts";
 
 /** One tier's waiting reservations. */
 export class TierQueue {
@@ -128,7 +128,7 @@
   }
 
   /** Charges more for served work or, with a negative amount, gives back. */
-  correct(waiting: Waiting, work: number): void {
+  correct(waiting: WaitingReservation, work: number): void {
     if (work < 0 && !this.#accounts.has(waiting.organisation)) {
       return;
     }
@@ -139,7 +139,7 @@
     this.#forgetPaid();
   }
 
-  #accountOf(waiting: Waiting): OrganisationAccount {
+  #accountOf(waiting: WaitingReservation): OrganisationAccount {
     const { organisation, weight } = waiting;
     const known = this.#accounts.get(organisation);
     if (known !== undefined) {
--- a/packages/decisions/src/queueing/waiting_queue.ts
+++ b/packages/decisions/src/queueing/waiting_queue.ts
@@ -21,7 +21,11 @@
 import { IndexedHeap } from "./indexed_heap.ts";
 import { Place } from "./place.ts";
 import { TierQueue } from "./tier_queue.ts";
-import type { Cost, Offer, Waiting } from "./waiting.ts";
+import type {
+  Cost,
+  OfferResult,
+  WaitingReservation,
+} from "./waiting_reservation.ts";
 
 /** Settings of a {@link WaitingQueue}. */
 export type WaitingQueueOptions = {
@@ -50,7 +54,7 @@
   readonly #latestStarts = new IndexedHeap<Place>();
   /** Highest tier first. */
   readonly #tiers: TierQueue[] = [];
-  #expired: Waiting[] = [];
+  #expired: WaitingReservation[] = [];
   #estimatesConfirmed: number | undefined;
 
   constructor(options: WaitingQueueOptions) {
@@ -90,13 +94,13 @@
   }
 
   /** Queues a reservation, evicts for it, or refuses it. */
-  offer(waiting: Waiting, now: number): Offer {
+  offer(waiting: WaitingReservation, now: number): OfferResult {
     const latestStart = this.#latestStart(waiting, now);
     if (latestStart < now) {
       return { queued: false, reason: "deadline" };
     }
     this.#collectExpired(now);
-    const evicted: Waiting[] = [];
+    const evicted: WaitingReservation[] = [];
     while (this.#places.size >= this.#capacity) {
       const victim = this.#victimFor(waiting);
       if (victim === undefined) {
@@ -116,8 +120,8 @@
    */
   take(
     now: number,
-    admits: (waiting: Waiting) => boolean,
-  ): Waiting | undefined {
+    admits: (waiting: WaitingReservation) => boolean,
+  ): WaitingReservation | undefined {
     this.#collectExpired(now);
     for (const tier of this.#tiers) {
       const place = this.#firstAdmitted(tier, now, admits);
@@ -142,7 +146,7 @@
   }
 
   /** Removes those whose deadline can no longer be met; each is told once. */
-  expire(now: number): Waiting[] {
+  expire(now: number): WaitingReservation[] {
     this.#collectExpired(now);
     const expired = this.#expired;
     this.#expired = [];
@@ -153,12 +157,12 @@
    * Corrects the charge of a taken reservation once its real cost is known. An
    * actual cost of 0 returns the whole charge: the grant lapsed.
    */
-  settle(waiting: Waiting, actual: Cost): void {
+  correctCharge(waiting: WaitingReservation, actual: Cost): void {
     const difference = this.#workOf(actual) - this.#workOf(waiting.cost);
     this.#tierOf(waiting.tierRank).correct(waiting, difference);
   }
 
-  #add(waiting: Waiting, latestStart: number): void {
+  #add(waiting: WaitingReservation, latestStart: number): void {
     const place = new Place(waiting, this.#workOf(waiting.cost), latestStart);
     this.#places.set(waiting.id, place);
     this.#latestStarts.push(place);
@@ -175,7 +179,7 @@
     this.#places.delete(place.waiting.id);
   }
 
-  #victimFor(arrival: Waiting): Place | undefined {
+  #victimFor(arrival: WaitingReservation): Place | undefined {
     const lowest = this.#lowestWaitingTier();
     if (lowest === undefined || lowest.rank < arrival.tierRank) {
       return undefined;
@@ -193,7 +197,7 @@
   #firstAdmitted(
     tier: TierQueue,
     now: number,
-    admits: (waiting: Waiting) => boolean,
+    admits: (waiting: WaitingReservation) => boolean,
   ): Place | undefined {
     while (tier.size > 0) {
       const heads = tier.heads();
@@ -215,7 +219,7 @@
       waiting.deadline - this.#serviceTimeOf(waiting.cost) < now;
   }
 
-  #latestStart(waiting: Waiting, now: number): number {
+  #latestStart(waiting: WaitingReservation, now: number): number {
     const latestStart = waiting.deadline - this.#serviceTimeOf(waiting.cost);
     this.#estimatesConfirmed ??= now;
     const unconfirmed = now - this.#estimatesConfirmed > UNCONFIRMED_AFTER;
--- a/packages/decisions/src/queueing/waiting.ts
+++ b/packages/decisions/src/queueing/waiting_reservation.ts
@@ -4,7 +4,7 @@
 export type Cost = { promptTokens: number; outputTokens: number };
 
 /** One waiting reservation. Times are milliseconds of the caller's own clock. */
-export type Waiting = {
+export type WaitingReservation = {
   id: string;
   /** 0 is served first. */
   tierRank: number;
@@ -20,6 +20,6 @@
 };
 
 /** What became of an offered reservation. */
-export type Offer =
-  | { queued: true; evicted: Waiting[] }
+export type OfferResult =
+  | { queued: true; evicted: WaitingReservation[] }
   | { queued: false; reason: "queue_full" | "deadline" };
--- a/packages/decisions/src/retries/retry_budget.ts
+++ b/packages/decisions/src/retries/retry_budget.ts
@@ -22,9 +22,9 @@
 /** What a budget lets through. */
 export type RetryBudgetOptions = {
   /** Retries earned by each success. */
-  share?: number | undefined;
-  freePerSecond?: number | undefined;
-  largest?: number | undefined;
+  retriesPerSuccess?: number | undefined;
+  refillPerSecond?: number | undefined;
+  capacity?: number | undefined;
 };
 
 /** A token bucket filled by successes. */
@@ -48,7 +48,7 @@
   }
 
   /** Takes one retry; false when the budget is spent. */
-  allow(now: number): boolean {
+  tryTake(now: number): boolean {
     this.#fill(now);
     if (this.#balance < 1) return false;
     this.#balance--;
@@ -56,15 +56,15 @@
   }
 
   /** States that a request was granted. */
-  success(now: number): void {
+  recordSuccess(now: number): void {
     this.#fill(now);
     this.#deposit(this.#share);
   }
 
   #use(options: RetryBudgetOptions): void {
-    this.#share = options.share ?? SHARE_OF_SUCCESSES;
-    this.#freePerSecond = options.freePerSecond ?? FREE_PER_SECOND;
-    this.#largest = options.largest ?? LARGEST_BALANCE;
+    this.#share = options.retriesPerSuccess ?? SHARE_OF_SUCCESSES;
+    this.#freePerSecond = options.refillPerSecond ?? FREE_PER_SECOND;
+    this.#largest = options.capacity ?? LARGEST_BALANCE;
   }
 
   #fill(now: number): void {
--- a/packages/decisions/src/routing/mod.ts
+++ b/packages/decisions/src/routing/mod.ts
@@ -1,4 +1,4 @@
 /** From a request's host and path to its service. @module */
-export { mayRepeat } from "./route.ts";
+export { isRepeatable } from "./route.ts";
 export type { Repeatability, Route, RouteTarget } from "./route.ts";
-export { chooseTarget, RouteTable } from "./route_table.ts";
+export { chooseService, RouteTable } from "./route_table.ts";
--- a/packages/decisions/src/routing/route.ts
+++ b/packages/decisions/src/routing/route.ts
@@ -23,21 +23,21 @@
   /** Longest that a caller is kept, in milliseconds from its arrival. */
   timeout: number;
   /** Milliseconds within which the (first) answer is on time. */
-  goal: number;
+  latencyGoal: number;
   /** 0 is served first. */
   tierRank: number;
   /** Most backend servers that one request may be sent to. */
   maximumServers: number;
   /** No credential is asked for. */
-  open: boolean;
+  allowsAnonymous: boolean;
   /** An interrupted stream may go on at another backend server. */
   resumable: boolean;
   /** Longest pause between events that is still on time, in milliseconds. */
-  longestPause: number | undefined;
+  pauseGoal: number | undefined;
 };
 
 /** True when sending a request a second time can do no harm. */
-export function mayRepeat(route: Route): boolean {
+export function isRepeatable(route: Route): boolean {
   return route.repeatability === "idempotent" ||
     (route.repeatability === "streaming" && route.resumable);
 }
--- a/packages/decisions/src/routing/route_table.ts
+++ b/packages/decisions/src/routing/route_table.ts
@@ -39,7 +39,7 @@
 }
 
 /** The service of a request: `draw` in [0, 1) picks among the targets by weight. */
-export function chooseTarget(route: Route, draw: number): string | undefined {
+export function chooseService(route: Route, draw: number): string | undefined {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
   let rest = draw * total;
   for (const target of route.targets) {
--- a/packages/decisions/src/server_limits/mod.ts
+++ b/packages/decisions/src/server_limits/mod.ts
@@ -1,7 +1,7 @@
 /** Request rates that backend servers state for all entries together. @module */
 export { LimitedPace, pacedRate } from "./limited_pace.ts";
 export { ServerLimits } from "./server_limits.ts";
-export { statedLimit } from "./stated_limit.ts";
+export { parseServerLimit } from "./parse_server_limit.ts";
 export type {
   LimitChange,
   LimitObservation,
--- a/packages/decisions/src/server_limits/stated_limit.ts
+++ b/packages/decisions/src/server_limits/parse_server_limit.ts
@@ -9,7 +9,7 @@
  * Requests a second; `undefined` without a header. The error is the value, where
  * it is no decimal number.
  */
-export function statedLimit(
+export function parseServerLimit(
   value: string | string[] | undefined,
 ): Result<number | undefined, string> {
   if (value === undefined) return Result.ok(undefined);
--- a/packages/decisions/src/server_limits/server_limits.ts
+++ b/packages/decisions/src/server_limits/server_limits.ts
@@ -21,7 +21,7 @@
    * Milliseconds: when the limit was heard, or when the request was sent whose
    * answer stated none. Earlier answers may have been under way already.
    */
-  heardAt: number;
+  observedAt: number;
 };
 
 /** A limit in force. */
@@ -43,10 +43,10 @@
   }
 
   /** Takes over an observation, unless a newer one is known. */
-  learn(server: string, observation: LimitObservation): LimitChange {
+  observe(server: string, observation: LimitObservation): LimitChange {
     const known = this.#latest.get(server);
     if (known === undefined && !isLimit(observation)) return "nothing";
-    if (known !== undefined && known.heardAt >= observation.heardAt) {
+    if (known !== undefined && known.observedAt >= observation.observedAt) {
       return "nothing";
     }
     this.#latest.delete(server);
@@ -57,7 +57,7 @@
   }
 
   /** Servers and their limits in force. */
-  *inForce(): Generator<[string, ServerLimit]> {
+  *activeLimits(): Generator<[string, ServerLimit]> {
     for (const [server, observation] of this.#latest) {
       if (isLimit(observation)) yield [server, observation];
     }
--- a/packages/decisions/src/suspects/suspects.ts
+++ b/packages/decisions/src/suspects/suspects.ts
@@ -38,7 +38,7 @@
 type Run = { fingerprint: string; backendServer: string; until: number };
 
 /** Suspicions, quarantines and the one suspect that is running. */
-export class Suspects {
+export class CrashSuspects {
   /** Oldest change first. */
   readonly #suspicions = new Map<string, Suspicion>();
   /** Last crash of each server, oldest first. */
@@ -54,26 +54,30 @@
   }
 
   /** True when no other suspect is running, so that this one may. */
-  mayStart(now: number): boolean {
+  mayStartRun(now: number): boolean {
     return this.#run === undefined || now >= this.#run.until;
   }
 
   /** Takes the turn to run a suspect; false when another has it. */
-  started(fingerprint: string, backendServer: string, now: number): boolean {
-    if (!this.mayStart(now)) return false;
+  tryStartRun(
+    fingerprint: string,
+    backendServer: string,
+    now: number,
+  ): boolean {
+    if (!this.mayStartRun(now)) return false;
     this.#run = { fingerprint, backendServer, until: now + RUN_LAPSE };
     this.#crashes.delete(backendServer);
     return true;
   }
 
   /** Gives the turn back without a verdict: cancelled, or never ran. */
-  stopped(fingerprint: string): void {
+  cancelRun(fingerprint: string): void {
     if (this.#run?.fingerprint === fingerprint) this.#run = undefined;
   }
 
   /** States a clean run, which clears the fingerprint. */
-  completed(fingerprint: string, now: number): void {
-    this.stopped(fingerprint);
+  recordCleanRun(fingerprint: string, now: number): void {
+    this.cancelRun(fingerprint);
     const held = this.#held(fingerprint, now);
     if (held?.kind !== "suspect") return;
     this.#store(fingerprint, {
@@ -88,7 +92,7 @@
    * States that a server died while it ran these. The same crash, heard over
    * several links, counts once.
    */
-  crashed(
+  recordCrash(
     fingerprints: readonly string[],
     backendServer: string,
     now: number,
--- a/packages/decisions/test/asks.ts
+++ b/packages/decisions/test/asks.ts
@@ -1,8 +1,12 @@
-import type { Ask, AskVerdict, ServiceDesk } from "../src/mod.ts";
+import type {
+  GrantDecision,
+  GrantRequest,
+  ServiceScheduler,
+} from "../src/mod.ts";
 
 let number = 0;
 /** An ask of tests, changed where one needs it. */
-export function ask(changes: Partial<Ask> = {}): Ask {
+export function ask(changes: Partial<GrantRequest> = {}): GrantRequest {
   number++;
   const arrived = changes.arrived ?? 0;
   return {
@@ -16,34 +20,34 @@
     cost: { promptTokens: 600, outputTokens: 200 },
     charge: 800,
     arrived,
-    goalAt: arrived + 600,
-    lapsesAt: arrived + 2000,
-    endsAt: arrived + 12_000,
+    latencyGoalAt: arrived + 600,
+    expiresAt: arrived + 2000,
+    deadline: arrived + 12_000,
     fingerprint: `print-${number}`,
-    spread: 0.5,
-    avoid: [],
+    jitter: 0.5,
+    excludedServers: [],
     ...changes,
   };
 }
 
 /** Ids of the asks that were granted, in order. */
-export function granted(verdicts: AskVerdict[]): string[] {
+export function granted(verdicts: GrantDecision[]): string[] {
   return verdicts.filter(({ kind }) => kind === "grant")
-    .map(({ ask }) => ask.id);
+    .map(({ request: ask }) => ask.id);
 }
 
 /** Serves `asks` one at a time from 0 on, each in 10 ms; gives the order. */
 export function orderOf(
-  desk: ServiceDesk,
-  running: Ask,
-  asks: Ask[],
+  desk: ServiceScheduler,
+  running: GrantRequest,
+  asks: GrantRequest[],
 ): string[] {
-  for (const one of asks) desk.ask(one, 0);
+  for (const one of asks) desk.submit(one, 0);
   const order: string[] = [];
   let last = running.id;
   for (let now = 10; order.length < asks.length; now += 10) {
-    desk.ended(last, "answered", now);
-    const [next] = granted(desk.verdicts(now));
+    desk.recordEnd(last, "answered", now);
+    const [next] = granted(desk.decide(now));
     if (next === undefined) break;
     order.push(next);
     last = next;
--- a/packages/decisions/test/burst_test.ts
+++ b/packages/decisions/test/burst_test.ts
@@ -1,6 +1,6 @@
 import t from "tap";
-import { ServiceDesk } from "../src/mod.ts";
-import type { Ask } from "../src/mod.ts";
+import { ServiceScheduler } from "../src/mod.ts";
+import type { GrantRequest } from "../src/mod.ts";
 import { serverRecord } from "./server_record.ts";
 
 /*
@@ -24,7 +24,7 @@
 }
 
 function onTime(estimate: (tokens: number) => number): number {
-  const desk = new ServiceDesk();
+  const desk = new ServiceScheduler();
   desk.setServers(
     Array.from(
       { length: SERVERS },
@@ -36,23 +36,23 @@
   for (let now = 0; now < ARRIVALS * SPACING + 3000; now += 5) {
     const index = now / SPACING;
     if (now % SPACING === 0 && index < ARRIVALS) {
-      desk.ask(askOf(index, estimate(lengthOf(index)), now), now);
+      desk.submit(askOf(index, estimate(lengthOf(index)), now), now);
     }
     for (const end of ends.filter(({ at }) => at === now)) {
-      desk.ended(end.id, "answered", now);
+      desk.recordEnd(end.id, "answered", now);
     }
-    for (const verdict of desk.verdicts(now)) {
+    for (const verdict of desk.decide(now)) {
       if (verdict.kind !== "grant") continue;
-      if (now + 70 <= verdict.ask.goalAt) served++;
-      const length = lengthOf(Number(verdict.ask.id));
+      if (now + 70 <= verdict.request.latencyGoalAt) served++;
+      const length = lengthOf(Number(verdict.request.id));
       const time = 70 + length * TIME_PER_TOKEN;
-      ends.push({ at: now + Math.ceil(time / 5) * 5, id: verdict.ask.id });
+      ends.push({ at: now + Math.ceil(time / 5) * 5, id: verdict.request.id });
     }
   }
   return served;
 }
 
-function askOf(index: number, outputTokens: number, now: number): Ask {
+function askOf(index: number, outputTokens: number, now: number): GrantRequest {
   return {
     id: String(index),
     entry: "entry",
@@ -64,12 +64,12 @@
     cost: { promptTokens: 600, outputTokens },
     charge: 1,
     arrived: now,
-    goalAt: now + 300,
-    lapsesAt: now + 1600,
-    endsAt: now + 12_000,
+    latencyGoalAt: now + 300,
+    expiresAt: now + 1600,
+    deadline: now + 12_000,
     fingerprint: String(index),
-    spread: 0.5,
-    avoid: [],
+    jitter: 0.5,
+    excludedServers: [],
   };
 }
 
--- a/packages/decisions/test/call_limit_test.ts
+++ b/packages/decisions/test/call_limit_test.ts
@@ -1,6 +1,6 @@
 import t from "tap";
 import { CallLimit } from "../src/mod.ts";
-import { waiting } from "./waiting.ts";
+import { waitingReservation } from "./waiting_reservation.ts";
 
 const CALL = { promptTokens: 0, outputTokens: 1 };
 
@@ -22,7 +22,7 @@
   /** Calls wait for room without end. */
   run(end: number): void {
     for (; this.now < end; this.now += 1) {
-      while (this.limit.admits(waiting(`${this.#count}`))) {
+      while (this.limit.admits(waitingReservation(`${this.#count}`))) {
         this.limit.started(`${this.#count}`, CALL, this.now);
         this.#calls.push({ id: `${this.#count}`, left: this.latency });
         this.#count += 1;
@@ -78,12 +78,15 @@
 
 t.test("nothing starts beside a suspect", (t) => {
   const limit = new CallLimit();
-  t.equal(limit.admits(waiting("suspect", { suspect: true })), true);
+  t.equal(limit.admits(waitingReservation("suspect", { suspect: true })), true);
   limit.started("suspect", CALL, 0);
-  t.equal(limit.admits(waiting("other")), false);
+  t.equal(limit.admits(waitingReservation("other")), false);
   limit.finished("suspect", "ok", 5);
-  t.equal(limit.admits(waiting("other")), true);
+  t.equal(limit.admits(waitingReservation("other")), true);
   limit.started("other", CALL, 5);
-  t.equal(limit.admits(waiting("suspect", { suspect: true })), false);
+  t.equal(
+    limit.admits(waitingReservation("suspect", { suspect: true })),
+    false,
+  );
   t.end();
 });
--- a/packages/decisions/test/ejection_test.ts
+++ b/packages/decisions/test/ejection_test.ts
@@ -1,9 +1,9 @@
 import fc from "fast-check";
 import t from "tap";
-import { Ejection, LARGEST_EJECTED_SHARE } from "../src/mod.ts";
+import { LARGEST_EJECTED_SHARE, OutlierEjection } from "../src/mod.ts";
 
-function createEjection(count: number): Ejection {
-  const ejection = new Ejection();
+function createEjection(count: number): OutlierEjection {
+  const ejection = new OutlierEjection();
   for (let index = 0; index < count; index++) ejection.add(`s${index}`);
   return ejection;
 }
@@ -35,22 +35,24 @@
         for (const { kind, server, wait } of events) {
           now += wait;
           const name = `s${server}`;
-          if (kind === "success") ejection.succeeded(name, now, 1);
-          else if (kind === "slow") ejection.succeeded(name, now, 50);
-          else if (kind === "start") ejection.started(name, now);
+          if (kind === "success") ejection.recordSuccess(name, now, 1);
+          else if (kind === "slow") ejection.recordSuccess(name, now, 50);
+          else if (kind === "start") ejection.recordStart(name, now);
           else if (kind === "add") {
             ejection.add(name);
             present.add(name);
           } else if (kind === "remove") {
             ejection.remove(name);
             present.delete(name);
-          } else ejection.failed(name, kind, now);
+          } else ejection.recordFailure(name, kind, now);
           const refused = [...present].filter((name) =>
             !ejection.allowed(name, now)
           );
           const most = Math.floor(present.size * LARGEST_EJECTED_SHARE);
           const bound = present.size < 2 ? 0 : Math.max(1, most);
-          if (refused.length > bound || ejection.out.size > bound) return false;
+          if (refused.length > bound || ejection.excluded.size > bound) {
+            return false;
+          }
         }
         return true;
       },
@@ -66,24 +68,24 @@
   // so it wins the grants and most callers get errors.
   const ejection = createEjection(4);
   for (let now = 0; now < 30; now += 10) {
-    ejection.failed("s0", "error", now);
-    ejection.succeeded("s1", now, 1);
-    ejection.succeeded("s2", now, 1);
+    ejection.recordFailure("s0", "error", now);
+    ejection.recordSuccess("s1", now, 1);
+    ejection.recordSuccess("s2", now, 1);
   }
   t.notOk(ejection.allowed("s0", 30));
   t.ok(ejection.allowed("s1", 30));
   t.ok(ejection.allowed("s0", 2100), "half-open");
-  ejection.started("s0", 2100);
+  ejection.recordStart("s0", 2100);
   t.notOk(ejection.allowed("s0", 2101), "one trial at a time");
-  ejection.failed("s0", "error", 2110);
+  ejection.recordFailure("s0", "error", 2110);
   t.notOk(ejection.allowed("s0", 2110 + 3999), "twice as long");
   const now = 2110 + 4000;
   for (let trial = 0; trial < 3; trial++) {
     t.ok(ejection.allowed("s0", now + trial));
-    ejection.started("s0", now + trial);
-    ejection.succeeded("s0", now + trial, 1);
+    ejection.recordStart("s0", now + trial);
+    ejection.recordSuccess("s0", now + trial, 1);
   }
-  t.equal(ejection.out.size, 0);
+  t.equal(ejection.excluded.size, 0);
   t.end();
 });
 
@@ -91,22 +93,22 @@
   const ejection = createEjection(4);
   for (let now = 0; now < 1000; now += 10) {
     const name = `s${(now / 10) % 4}`;
-    if (now % 30 === 0) ejection.succeeded(name, now, 1);
-    else ejection.failed(name, "error", now);
+    if (now % 30 === 0) ejection.recordSuccess(name, now, 1);
+    else ejection.recordFailure(name, "error", now);
   }
-  t.equal(ejection.out.size, 0);
+  t.equal(ejection.excluded.size, 0);
   t.end();
 });
 
 t.test("leaves out a server far slower than any generation", (t) => {
   const ejection = createEjection(4);
   for (let now = 0; now < 1000; now += 10) {
-    ejection.succeeded("s0", now, 12);
-    ejection.succeeded("s1", now, 0.4);
-    ejection.succeeded("s2", now, 1);
-    ejection.succeeded("s3", now, 2.5);
+    ejection.recordSuccess("s0", now, 12);
+    ejection.recordSuccess("s1", now, 0.4);
+    ejection.recordSuccess("s2", now, 1);
+    ejection.recordSuccess("s3", now, 2.5);
   }
-  t.strictSame([...ejection.out], ["s0"]);
+  t.strictSame([...ejection.excluded], ["s0"]);
   t.end();
 });
 
@@ -115,13 +117,15 @@
   let now = 0;
   const outages: number[] = [];
   for (let round = 0; round < 3; round++) {
-    for (let call = 0; call < 8; call++) ejection.failed("s0", "error", now);
+    for (let call = 0; call < 8; call++) {
+      ejection.recordFailure("s0", "error", now);
+    }
     const since = now;
     while (!ejection.allowed("s0", now)) now += 100;
     outages.push(now - since);
     for (let trial = 0; trial < 3; trial++) {
-      ejection.started("s0", now);
-      ejection.succeeded("s0", now, 1);
+      ejection.recordStart("s0", now);
+      ejection.recordSuccess("s0", now, 1);
     }
   }
   t.strictSame(outages, [2000, 4000, 8000]);
--- a/packages/decisions/test/entry_group_test.ts
+++ b/packages/decisions/test/entry_group_test.ts
@@ -1,5 +1,5 @@
 import t from "tap";
-import { grantingEntry, WatchTurns } from "../src/mod.ts";
+import { selectGrantingEntry, WatchTimeouts } from "../src/mod.ts";
 
 t.test("the entry with the most processor time grants", (t) => {
   // Instances differ by a factor of five. Where a hash alone chose, an instance
@@ -9,15 +9,15 @@
   const entry = (name: string, processors: number) => ({ name, processors });
   const weak = ["a", "b", "c", "d"].map((name) => entry(name, 0.243));
   const strong = [entry("x", 1.35), entry("y", 1.35)];
-  const chosen = grantingEntry([...weak, ...strong]);
+  const chosen = selectGrantingEntry([...weak, ...strong]);
   t.ok(chosen === "x" || chosen === "y");
   t.equal(
-    grantingEntry([...strong, ...weak].reverse()),
+    selectGrantingEntry([...strong, ...weak].reverse()),
     chosen,
     "by any order",
   );
-  t.equal(grantingEntry(weak.slice(0, 1)), "a");
-  t.equal(grantingEntry([]), undefined);
+  t.equal(selectGrantingEntry(weak.slice(0, 1)), "a");
+  t.equal(selectGrantingEntry([]), undefined);
   t.end();
 });
 
@@ -28,7 +28,7 @@
       name: `entry-${fleet}-${index}`,
       processors: 0.5,
     }));
-    chosen.add(grantingEntry(able)?.slice(-1));
+    chosen.add(selectGrantingEntry(able)?.slice(-1));
   }
   t.same([...chosen].sort(), ["0", "1", "2"]);
   t.end();
@@ -40,9 +40,9 @@
   // All connections to the store go silent at once, just as a change woke every
   // watch. If all waited long, keys that were taken away stayed good for as long.
   for (const size of [1, 2, 3, 21, 300]) {
-    const all = Array.from({ length: size }, () => new WatchTurns(SHORTEST));
+    const all = Array.from({ length: size }, () => new WatchTimeouts(SHORTEST));
     for (let change = 0; change < 30; change++) {
-      const waits = all.map((turns, rank) => turns.next({ rank, size }));
+      const waits = all.map((turns, rank) => turns.nextTimeout({ rank, size }));
       t.equal(Math.min(...waits), SHORTEST);
     }
   }
@@ -55,10 +55,10 @@
   const callsASecond = (size: number) => {
     let calls = 0;
     for (let rank = 0; rank < size; rank++) {
-      const turns = new WatchTurns(SHORTEST);
+      const turns = new WatchTimeouts(SHORTEST);
       let spent = 0;
       for (let turn = 0; turn < size; turn++) {
-        spent += turns.next({ rank, size });
+        spent += turns.nextTimeout({ rank, size });
       }
       calls += size / spent * 1000;
     }
--- a/packages/decisions/test/estimates_test.ts
+++ b/packages/decisions/test/estimates_test.ts
@@ -68,9 +68,9 @@
   };
   const cost = { promptTokens: 1000, outputTokens: 51 };
   serve(1);
-  t.ok(Math.abs(estimator.expected(cost) - 1140) < 60);
+  t.ok(Math.abs(estimator.expectedTotal(cost) - 1140) < 60);
   serve(5);
-  t.ok(Math.abs(estimator.expected(cost) - 5700) < 400);
+  t.ok(Math.abs(estimator.expectedTotal(cost) - 5700) < 400);
   t.end();
 });
 
@@ -80,7 +80,7 @@
   for (let index = 0; index < 300; index += 1) {
     estimator.observe({ cost, firstToken: 8, total: 8 });
   }
-  t.ok(Math.abs(estimator.expected(cost) - 8) < 2);
+  t.ok(Math.abs(estimator.expectedTotal(cost) - 8) < 2);
   t.end();
 });
 
--- a/packages/decisions/test/group_parts_test.ts
+++ b/packages/decisions/test/group_parts_test.ts
@@ -1,13 +1,13 @@
 import fc from "fast-check";
 import t from "tap";
-import { EntryRoll, groupParts, sharesOfFleet } from "../src/mod.ts";
-import type { GroupParts, PresentEntry } from "../src/mod.ts";
+import { groupFractions, MembershipList, totalShares } from "../src/mod.ts";
+import type { GroupFractions, PresentEntry } from "../src/mod.ts";
 
 const NAMES = ["a", "b", "c", "d", "e"];
 
-function rolled(names: readonly string[]): EntryRoll {
-  const roll = new EntryRoll();
-  for (const name of names) roll.registered(name);
+function rolled(names: readonly string[]): MembershipList {
+  const roll = new MembershipList();
+  for (const name of names) roll.markRegistered(name);
   return roll;
 }
 
@@ -15,24 +15,24 @@
 function partsOf(
   name: string,
   view: {
-    roll: EntryRoll;
+    roll: MembershipList;
     hears: readonly string[];
     asks: (entry: string) => string;
     listed?: (entry: string) => boolean;
     now?: number;
   },
-): GroupParts {
+): GroupFractions {
   const { roll, hears, asks, listed = () => true, now = 0 } = view;
   const present: PresentEntry[] = [...new Set([name, ...hears])].map((
     entry,
   ) => ({
     name: entry,
     listed: listed(entry),
-    asks: asks(entry) === name,
+    asksThisEntry: asks(entry) === name,
   }));
   const shares = roll.shares(now);
-  const stated = sharesOfFleet({ present, shares });
-  return groupParts({ present, shares, stated });
+  const stated = totalShares({ present, shares });
+  return groupFractions({ present, shares, stated });
 }
 
 t.test("parts of groups that don't hear each other add up to one", (t) => {
@@ -77,10 +77,10 @@
 
 t.test("a peer that counts more entries is believed", (t) => {
   // An entry that has just started doesn't know those whose registration is gone.
-  const present = [{ name: "d", listed: true, asks: true }];
+  const present = [{ name: "d", listed: true, asksThisEntry: true }];
   const shares = rolled(["d"]).shares(0);
-  t.equal(groupParts({ present, shares, stated: 5 }).quota, 0.2);
-  t.equal(groupParts({ present, shares, stated: 0 }).quota, 1);
+  t.equal(groupFractions({ present, shares, stated: 5 }).quota, 0.2);
+  t.equal(groupFractions({ present, shares, stated: 0 }).quota, 1);
   t.end();
 });
 
@@ -89,7 +89,7 @@
     const names = NAMES.slice(0, size);
     const [away = "", ...rest] = names;
     const theirs = rolled(names);
-    theirs.lapsed(away, 0);
+    theirs.markUnregistered(away, 0);
     const own = rolled(names);
     const listed = (entry: string) => entry !== away;
     for (const now of [0, 9999, 10_000, 60_000, 500_000]) {
@@ -118,20 +118,20 @@
 
 t.test("nothing is left to an entry that said it leaves", (t) => {
   const roll = rolled(NAMES);
-  roll.leaves("e");
-  roll.lapsed("e", 0);
+  roll.markLeaving("e");
+  roll.markUnregistered("e", 0);
   t.equal(roll.shares(9999).get("e"), 1);
   t.notOk(roll.shares(10_001).has("e"));
-  roll.registered("e");
-  roll.lapsed("e", 20_000);
+  roll.markRegistered("e");
+  roll.markUnregistered("e", 20_000);
   t.equal(roll.shares(40_000).get("e"), 0.2, "a later start didn't say so");
   t.end();
 });
 
 t.test("what a peer tells of an entry is counted for as long as there", (t) => {
   const roll = rolled(["a"]);
-  roll.told("b", 4000, 1000);
-  roll.told("a", 4000, 1000);
+  roll.mergeFromPeer("b", 4000, 1000);
+  roll.mergeFromPeer("a", 4000, 1000);
   t.same([...roll.countedFor(2000)].sort(), [["a", 10_000], ["b", 3000]]);
   t.same(roll.shares(4999).get("b"), 1);
   t.same(roll.shares(5001).get("b"), 0.2);
--- a/packages/decisions/test/isolation_test.ts
+++ b/packages/decisions/test/isolation_test.ts
@@ -1,15 +1,18 @@
 import fc from "fast-check";
 import t from "tap";
-import { WaitingAllowance } from "../src/mod.ts";
+import { WaitingRequestLimiter } from "../src/mod.ts";
 
 const never = () => {};
 
 t.test("a full service refuses only its own requests", (t) => {
   // Review tags with large bodies pile up during an outage of their engine,
   // the entry's memory fills, and bookings fail with them.
-  const allowance = new WaitingAllowance(() => ({ requests: 2, bytes: 100 }));
+  const allowance = new WaitingRequestLimiter(() => ({
+    requests: 2,
+    bytes: 100,
+  }));
   const admit = (service: string, bytes: number) =>
-    allowance.admit({ service, bytes, tierRank: 1, evicted: never });
+    allowance.admit({ service, bytes, tierRank: 1, onEvicted: never });
   t.ok(admit("tags", 60).isOk);
   const crowded = admit("tags", 60);
   t.strictSame(crowded.isErr && crowded.error.reason, "too_many_bytes");
@@ -27,13 +30,16 @@
 });
 
 t.test("a place is given back once", (t) => {
-  const allowance = new WaitingAllowance(() => ({ requests: 1, bytes: 9 }));
-  const request = { service: "tags", bytes: 9, tierRank: 0, evicted: never };
+  const allowance = new WaitingRequestLimiter(() => ({
+    requests: 1,
+    bytes: 9,
+  }));
+  const request = { service: "tags", bytes: 9, tierRank: 0, onEvicted: never };
   const admitted = allowance.admit(request);
   if (admitted.isErr) throw new Error(admitted.error.reason);
   admitted.value();
   admitted.value();
-  t.strictSame(allowance.held("tags"), { requests: 0, bytes: 0 });
+  t.strictSame(allowance.usageOf("tags"), { requests: 0, bytes: 0 });
   t.ok(allowance.admit(request).isOk);
   t.end();
 });
@@ -47,7 +53,7 @@
   fc.assert(
     fc.property(fc.array(arrival, { maxLength: 200 }), (arrivals) => {
       const bounds = { requests: 8, bytes: 100 };
-      const allowance = new WaitingAllowance(() => bounds);
+      const allowance = new WaitingRequestLimiter(() => bounds);
       const waiting = new Map<number, { tierRank: number; bytes: number }>();
       const releases = new Map<number, () => void>();
       for (const [number, { tierRank, bytes, release }] of arrivals.entries()) {
@@ -55,7 +61,7 @@
           service: "service",
           bytes,
           tierRank,
-          evicted: () => {
+          onEvicted: () => {
             const evicted = waiting.get(number)!;
             const lower = [...waiting.values()].map((held) => held.tierRank);
             if (Math.max(...lower) > evicted.tierRank) {
@@ -84,7 +90,7 @@
             waiting.delete(oldest);
           }
         }
-        const held = allowance.held("service");
+        const held = allowance.usageOf("service");
         const sum = [...waiting.values()].reduce(
           (sum, one) => sum + one.bytes,
           0,
--- a/packages/decisions/test/limited_desk_test.ts
+++ b/packages/decisions/test/limited_desk_test.ts
@@ -1,6 +1,6 @@
 import t from "tap";
-import { Desk, ServerLimits } from "../src/mod.ts";
-import type { Ask, AskVerdict } from "../src/mod.ts";
+import { GroupScheduler, ServerLimits } from "../src/mod.ts";
+import type { GrantDecision, GrantRequest } from "../src/mod.ts";
 import { ask, granted } from "./asks.ts";
 import { serverRecord } from "./server_record.ts";
 
@@ -9,44 +9,57 @@
 const LIMIT = 2;
 const PARTS = { room: 1, quota: 1 };
 
-function deskOf(servers: readonly string[], limits: ServerLimits): Desk {
-  const desk = new Desk(LEEWAY, limits);
+function deskOf(
+  servers: readonly string[],
+  limits: ServerLimits,
+): GroupScheduler {
+  const desk = new GroupScheduler(LEEWAY, limits);
   desk.setServers(servers.map((id) => serverRecord(id, { slots: 8 })));
-  desk.setShares(new Map(), PARTS, 0);
+  desk.setQuotas(new Map(), PARTS, 0);
   return desk;
 }
 
 function limited(servers: readonly string[]): ServerLimits {
   const limits = new ServerLimits();
   for (const server of servers) {
-    limits.learn(`${server}@1`, { perSecond: LIMIT, by: "entry", heardAt: 0 });
+    limits.observe(`${server}@1`, {
+      perSecond: LIMIT,
+      by: "entry",
+      observedAt: 0,
+    });
   }
   return limits;
 }
 
 /** Asks every `spacing` ms until `end`; each run takes 100 ms. */
 function press(
-  desk: Desk,
+  desk: GroupScheduler,
   options: { from?: number; end: number; spacing: number },
-  end: (one: Ask) => Parameters<Desk["ended"]>[1] = () => "answered",
-): { at: number; verdict: AskVerdict }[] {
-  const seen: { at: number; verdict: AskVerdict }[] = [];
-  const running: { id: string; at: number; one: Ask }[] = [];
+  end: (one: GrantRequest) => Parameters<GroupScheduler["recordEnd"]>[1] = () =>
+    "answered",
+): { at: number; verdict: GrantDecision }[] {
+  const seen: { at: number; verdict: GrantDecision }[] = [];
+  const running: { id: string; at: number; one: GrantRequest }[] = [];
   const cost = { promptTokens: 0, outputTokens: 1 };
   for (let now = options.from ?? 0; now < options.end; now += 10) {
     if (now % options.spacing === 0) {
       const lapsesAt = now + 1000;
-      const one = ask({ arrived: now, cost, goalAt: now + 300, lapsesAt });
-      const verdict = desk.ask(one, now);
+      const one = ask({
+        arrived: now,
+        cost,
+        latencyGoalAt: now + 300,
+        expiresAt: lapsesAt,
+      });
+      const verdict = desk.submit(one, now);
       if (verdict !== undefined) seen.push({ at: now, verdict });
     }
     for (const { id, one } of running.filter(({ at }) => at === now)) {
-      desk.ended(id, end(one), now);
+      desk.recordEnd(id, end(one), now);
     }
-    for (const verdict of desk.verdicts(now)) {
+    for (const verdict of desk.decide(now)) {
       seen.push({ at: now, verdict });
       if (verdict.kind !== "grant") continue;
-      const { ask: one } = verdict;
+      const { request: one } = verdict;
       running.push({ id: one.id, at: now + 100, one });
     }
   }
@@ -93,7 +106,7 @@
   for (const { at, verdict } of seen) {
     if (verdict.kind === "grant" || at < 3000) continue;
     t.ok(verdict.retryAfter > 0);
-    waits.push(at - verdict.ask.arrived);
+    waits.push(at - verdict.request.arrived);
   }
   waits.sort((one, other) => one - other);
   const median = waits[Math.floor(waits.length / 2)]!;
@@ -106,7 +119,11 @@
   const limits = limited(["x"]);
   const desk = deskOf(["x"], limits);
   press(desk, { end: 2000, spacing: 20 });
-  limits.learn("x@1", { perSecond: undefined, by: "entry", heardAt: 1900 });
+  limits.observe("x@1", {
+    perSecond: undefined,
+    by: "entry",
+    observedAt: 1900,
+  });
   const seen = press(desk, { from: 2000, end: 4000, spacing: 20 });
   t.ok(grants(seen, "x").length > 80);
   t.end();
@@ -114,7 +131,7 @@
 
 t.test("a group uses its part of a limit", (t) => {
   const desk = deskOf(["x"], limited(["x"]));
-  desk.setShares(new Map(), { room: 0.5, quota: 0.5 }, 0);
+  desk.setQuotas(new Map(), { room: 0.5, quota: 0.5 }, 0);
   const sent = grants(press(desk, { end: 10_000, spacing: 20 }), "x");
   t.ok(sent.length <= LIMIT * 5 + 1, `${sent.length} in 10 s`);
   t.end();
@@ -122,14 +139,14 @@
 
 t.test("a request that reached no server gives its token back", (t) => {
   const desk = deskOf(["x"], limited(["x"]));
-  desk.verdicts(0);
+  desk.decide(0);
   const first = ask();
   const second = ask();
-  desk.ask(first, 0);
-  desk.verdicts(0);
-  t.same(granted(desk.verdicts(500)), [first.id]);
-  desk.ended(first.id, "connection_refused", 501);
-  desk.ask(second, 502);
-  t.same(granted(desk.verdicts(760)), [second.id]);
+  desk.submit(first, 0);
+  desk.decide(0);
+  t.same(granted(desk.decide(500)), [first.id]);
+  desk.recordEnd(first.id, "connection_refused", 501);
+  desk.submit(second, 502);
+  t.same(granted(desk.decide(760)), [second.id]);
   t.end();
 });
--- a/packages/decisions/test/move_fixtures.ts
+++ b/packages/decisions/test/move_fixtures.ts
@@ -1,7 +1,7 @@
 /** Records, evidence and random numbers of the tests of moves. @module */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import type { MoveFacts, MoveRecord, RouteEvidence } from "../src/mod.ts";
+import type { MoveInputs, MoveRecord, RouteEvidence } from "../src/mod.ts";
 
 export function createRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
@@ -38,7 +38,7 @@
   evidence: [],
 };
 
-export function factsWith(ended: number, room = 1): MoveFacts {
+export function factsWith(ended: number, room = 1): MoveInputs {
   return {
     verdict: { kind: "open" },
     evidence: [evidence("chat", [1000, 0, 0], [ended, 0, 0])],
--- a/packages/decisions/test/move_judge_test.ts
+++ b/packages/decisions/test/move_judge_test.ts
@@ -1,10 +1,10 @@
 import fc from "fast-check";
 import t from "tap";
 import {
-  EvidenceTally,
+  EvidenceCollector,
   mergeEvidence,
   MoveJudge,
-  trialRequestsOfEntry,
+  trialRequestsPerEntry,
   VersionSplit,
 } from "../src/mod.ts";
 import { createRandom, evidence } from "./move_fixtures.ts";
@@ -104,18 +104,18 @@
 });
 
 t.test("a slow call is one over the old version's threshold", (t) => {
-  const tally = new EvidenceTally();
+  const tally = new EvidenceCollector();
   for (let call = 0; call < 500; call++) {
     const slowness = 1 + (call % 10) / 10;
-    tally.ended({ route: "chat", side: "from", failed: false, slowness });
+    tally.recordCall({ route: "chat", side: "from", failed: false, slowness });
   }
-  tally.take();
-  tally.ended({ route: "chat", side: "to", failed: false, slowness: 4 });
-  tally.ended({ route: "chat", side: "to", failed: false, slowness: 1 });
-  tally.ended({ route: "chat", side: "to", failed: true });
-  const [taken] = tally.take();
+  tally.flush();
+  tally.recordCall({ route: "chat", side: "to", failed: false, slowness: 4 });
+  tally.recordCall({ route: "chat", side: "to", failed: false, slowness: 1 });
+  tally.recordCall({ route: "chat", side: "to", failed: true });
+  const [taken] = tally.flush();
   t.strictSame(taken?.to, { ended: 3, failed: 1, slow: 1 });
-  t.strictSame(tally.take(), []);
+  t.strictSame(tally.flush(), []);
   const merged = mergeEvidence([taken!, taken!]);
   t.strictSame(merged[0]?.to, { ended: 6, failed: 2, slow: 2 });
   t.end();
@@ -130,14 +130,14 @@
       fc.array(fc.boolean(), { maxLength: 400 }),
       (share, trialRequests, remainder, ends) => {
         const split = new VersionSplit(remainder);
-        split.update({ share, trialRequests });
+        split.setBounds({ share, trialRequests });
         let unended = 0;
         let requests = 0;
         for (const end of ends) {
           requests++;
           if (split.choose() === "to") unended++;
           if (end && unended > 0) {
-            split.ended();
+            split.requestEnded();
             unended--;
           }
           if (unended > 8 || split.sent > trialRequests) return false;
@@ -149,12 +149,12 @@
     { seed: 20261202, numRuns: 300 },
   );
   const split = new VersionSplit(0);
-  split.update({ share: 0.1 });
+  split.setBounds({ share: 0.1 });
   for (let request = 0; request < 1000; request++) split.choose();
   t.ok(Math.abs(split.sent - 100) <= 1);
   split.stop();
-  split.update({ share: 1 });
+  split.setBounds({ share: 1 });
   t.equal(split.choose(), "from", "stopped before any record says so");
-  t.equal(trialRequestsOfEntry(200, 330), 1);
+  t.equal(trialRequestsPerEntry(200, 330), 1);
   t.end();
 });
--- a/packages/decisions/test/move_steps_test.ts
+++ b/packages/decisions/test/move_steps_test.ts
@@ -3,13 +3,13 @@
 import * as v from "valibot";
 import {
   COMPLETION_GUARD,
-  endInForce,
+  effectiveOutcome,
+  effectiveShare,
   moveRecordSchema,
   nextStep,
-  shareInForce,
-  VersionHold,
+  VersionFailureDetector,
 } from "../src/mod.ts";
-import type { MoveFacts, MoveRecord } from "../src/mod.ts";
+import type { MoveInputs, MoveRecord } from "../src/mod.ts";
 import { factsWith, record } from "./move_fixtures.ts";
 
 t.test("a good version completes step by step before the guard", (t) => {
@@ -39,7 +39,7 @@
 });
 
 t.test("a bad version is taken back and nothing follows", (t) => {
-  const bad: MoveFacts = {
+  const bad: MoveInputs = {
     ...factsWith(10),
     verdict: {
       kind: "bad",
@@ -74,12 +74,12 @@
   const trial = nextStep(record, factsWith(0), 0)!;
   const raising: MoveRecord = { ...trial, phase: "raising", share: 0.25 };
   for (const copy of [record, trial, raising]) {
-    t.equal(endInForce(copy, record.deadline - 1), "running");
-    t.equal(endInForce(copy, record.deadline), "takenBack");
-    t.equal(shareInForce(copy, record.deadline), 0);
+    t.equal(effectiveOutcome(copy, record.deadline - 1), "running");
+    t.equal(effectiveOutcome(copy, record.deadline), "takenBack");
+    t.equal(effectiveShare(copy, record.deadline), 0);
   }
   const complete: MoveRecord = { ...raising, phase: "complete", share: 1 };
-  t.equal(shareInForce(complete, record.deadline + 1), 1);
+  t.equal(effectiveShare(complete, record.deadline + 1), 1);
   t.end();
 });
 
@@ -113,14 +113,16 @@
 });
 
 t.test("a sidecar holds back after three failures until released", (t) => {
-  const hold = new VersionHold();
-  for (let call = 0; call < 1000; call++) hold.ended("chat", call % 50 === 0);
-  t.equal(hold.heldFor, undefined);
-  const fresh = new VersionHold();
-  for (let call = 0; call < 3; call++) fresh.ended("chat", true);
-  t.equal(fresh.heldFor, "chat");
-  fresh.release();
-  t.equal(fresh.heldFor, undefined);
+  const hold = new VersionFailureDetector();
+  for (let call = 0; call < 1000; call++) {
+    hold.recordCall("chat", call % 50 === 0);
+  }
+  t.equal(hold.failingRoute, undefined);
+  const fresh = new VersionFailureDetector();
+  for (let call = 0; call < 3; call++) fresh.recordCall("chat", true);
+  t.equal(fresh.failingRoute, "chat");
+  fresh.reset();
+  t.equal(fresh.failingRoute, undefined);
   t.end();
 });
 
--- a/packages/decisions/test/placement_test.ts
+++ b/packages/decisions/test/placement_test.ts
@@ -42,7 +42,7 @@
       fc.integer(),
       (size, leaving, excluded, count, prefixKey, seed) => {
         const set = createSet(size);
-        for (const index of leaving) set.leaving(`s${index}`);
+        for (const index of leaving) set.markLeaving(`s${index}`);
         // The list lags and offers leaving servers again.
         for (const index of leaving) {
           set.add({ name: `s${index}`, dataCentre: "a" }, 1);
@@ -139,8 +139,8 @@
     }
     return set;
   });
-  t.notSame(first!.linked(), second!.linked());
-  t.equal(first!.linked().size, 16);
+  t.notSame(first!.namesToLink(), second!.namesToLink());
+  t.equal(first!.namesToLink().size, 16);
   for (let key = 0; key < 50; key++) {
     const options = {
       count: 1,
@@ -192,14 +192,14 @@
   t.equal(plan.next(101).count, 0);
   t.equal(plan.nextAt, 104);
   t.strictSame(plan.next(104), { count: 2, reach: "region" });
-  plan.lost(2);
+  plan.markLost(2);
   t.equal(plan.next(105).count, 2);
   t.equal(plan.next(112).count, 2);
   for (let round = 0; round < 20; round++) {
-    plan.lost(10);
+    plan.markLost(10);
     plan.next(400);
   }
-  plan.lost(10);
+  plan.markLost(10);
   t.ok(plan.exhausted);
   t.end();
 });
--- a/packages/decisions/test/quota_order_test.ts
+++ b/packages/decisions/test/quota_order_test.ts
@@ -1,5 +1,5 @@
 import t from "tap";
-import { Desk } from "../src/mod.ts";
+import { GroupScheduler } from "../src/mod.ts";
 import { loadKind } from "./load_kind.ts";
 import { serverRecord } from "./server_record.ts";
 import { VirtualFleet } from "./virtual_fleet.ts";
@@ -9,9 +9,9 @@
 const ACCEPTED = (8 * QUOTA.ratePerSecond + QUOTA.burst) * 1.1 + LEEWAY.slack;
 
 function play(seed: number): VirtualFleet {
-  const desk = new Desk(LEEWAY);
+  const desk = new GroupScheduler(LEEWAY);
   desk.setServers(["x", "y"].map((id) => serverRecord(id, { slots: 12 })));
-  desk.setShares(new Map([["hot", QUOTA]]), { room: 1, quota: 1 }, 0);
+  desk.setQuotas(new Map([["hot", QUOTA]]), { room: 1, quota: 1 }, 0);
   const fleet = new VirtualFleet({
     desk,
     kinds: [loadKind("hot", 60), loadKind("calm", 6)],
--- a/packages/decisions/test/quota_oversize_test.ts
+++ b/packages/decisions/test/quota_oversize_test.ts
@@ -1,5 +1,5 @@
 import t from "tap";
-import { Desk } from "../src/mod.ts";
+import { GroupScheduler } from "../src/mod.ts";
 import { ask } from "./asks.ts";
 import { serverRecord } from "./server_record.ts";
 import { largestWindow } from "./windows.ts";
@@ -15,26 +15,26 @@
 /** Tokens: five times the burst of one group's part. */
 const OVERSIZE = 1000;
 
-function deskWithPart(part: number): Desk {
-  const desk = new Desk(LEEWAY);
+function deskWithPart(part: number): GroupScheduler {
+  const desk = new GroupScheduler(LEEWAY);
   desk.setServers([serverRecord("x", { slots: 200 })]);
   const quotas = new Map([["firm", QUOTA]]);
-  desk.setShares(quotas, { room: 0, quota: 0 }, -20_000);
-  desk.setShares(quotas, { room: 1, quota: part }, -20_000);
+  desk.setQuotas(quotas, { room: 0, quota: 0 }, -20_000);
+  desk.setQuotas(quotas, { room: 1, quota: part }, -20_000);
   return desk;
 }
 
 function askOnce(
-  desk: Desk,
+  desk: GroupScheduler,
   grants: Granted[],
   one: { charge: number; tierRank?: number },
   now: number,
 ): void {
-  desk.ask(ask({ ...one, arrived: now, lapsesAt: now + PATIENCE }), now);
-  for (const { kind, ask } of desk.verdicts(now)) {
+  desk.submit(ask({ ...one, arrived: now, expiresAt: now + PATIENCE }), now);
+  for (const { kind, request: ask } of desk.decide(now)) {
     if (kind !== "grant") continue;
     grants.push({ at: now, charge: ask.charge });
-    desk.ended(ask.id, "answered", now);
+    desk.recordEnd(ask.id, "answered", now);
   }
 }
 
--- a/packages/decisions/test/quota_size_test.ts
+++ b/packages/decisions/test/quota_size_test.ts
@@ -1,5 +1,5 @@
 import t from "tap";
-import { Desk } from "../src/mod.ts";
+import { GroupScheduler } from "../src/mod.ts";
 import { loadKind } from "./load_kind.ts";
 import { serverRecord } from "./server_record.ts";
 import { VirtualFleet } from "./virtual_fleet.ts";
@@ -16,10 +16,10 @@
 };
 
 function play(seed: number): VirtualFleet {
-  const desk = new Desk(LEEWAY);
+  const desk = new GroupScheduler(LEEWAY);
   const names = ["u", "v", "w", "x", "y", "z"];
   desk.setServers(names.map((id) => serverRecord(id, { slots: 12 })));
-  desk.setShares(new Map([["hot", QUOTA]]), { room: 1, quota: 1 }, 0);
+  desk.setQuotas(new Map([["hot", QUOTA]]), { room: 1, quota: 1 }, 0);
   const fleet = new VirtualFleet({
     desk,
     kinds: [loadKind("hot", 60, SIZES), loadKind("calm", 6, SIZES)],
--- a/packages/decisions/test/retries_test.ts
+++ b/packages/decisions/test/retries_test.ts
@@ -15,14 +15,18 @@
   );
   fc.assert(
     fc.property(steps, (steps) => {
-      const [share, freePerSecond, largest] = [0.1, 2, 5];
-      const budget = new RetryBudget({ share, freePerSecond, largest });
+      const [retriesPerSuccess, refillPerSecond, capacity] = [0.1, 2, 5];
+      const budget = new RetryBudget({
+        retriesPerSuccess: retriesPerSuccess,
+        refillPerSecond: refillPerSecond,
+        capacity: capacity,
+      });
       const events: { now: number; retries: number; successes: number }[] = [];
       let now = 0;
       for (const step of steps) {
         now += step.wait;
-        const allowed = step.kind === "allow" && budget.allow(now);
-        if (step.kind === "success") budget.success(now);
+        const allowed = step.kind === "allow" && budget.tryTake(now);
+        if (step.kind === "success") budget.recordSuccess(now);
         const successes = step.kind === "success" ? 1 : 0;
         events.push({ now, retries: allowed ? 1 : 0, successes });
       }
@@ -33,7 +37,8 @@
           retries += event.retries;
           successes += event.successes;
           const elapsed = (event.now - first.now) / 1000;
-          const bound = largest + share * successes + freePerSecond * elapsed;
+          const bound = capacity + retriesPerSuccess * successes +
+            refillPerSecond * elapsed;
           return retries <= bound + 1e-6;
         });
       });
@@ -45,11 +50,11 @@
 });
 
 t.test("a spent budget recovers with successes", (t) => {
-  const budget = new RetryBudget({ largest: 1, freePerSecond: 0 });
-  t.ok(budget.allow(0));
-  t.notOk(budget.allow(1));
-  for (let index = 0; index < 11; index++) budget.success(2);
-  t.ok(budget.allow(3));
+  const budget = new RetryBudget({ capacity: 1, refillPerSecond: 0 });
+  t.ok(budget.tryTake(0));
+  t.notOk(budget.tryTake(1));
+  for (let index = 0; index < 11; index++) budget.recordSuccess(2);
+  t.ok(budget.tryTake(3));
   t.end();
 });
 
--- a/packages/decisions/test/route_order_test.ts
+++ b/packages/decisions/test/route_order_test.ts
@@ -1,5 +1,5 @@
 import t from "tap";
-import { Desk } from "../src/mod.ts";
+import { GroupScheduler } from "../src/mod.ts";
 import { serverRecord } from "./server_record.ts";
 import { VirtualFleet } from "./virtual_fleet.ts";
 import type { LoadKind, LoadResult } from "./virtual_fleet.ts";
@@ -52,7 +52,7 @@
 ];
 
 function play(seed: number): Map<string, LoadResult> {
-  const desk = new Desk(LEEWAY);
+  const desk = new GroupScheduler(LEEWAY);
   desk.setServers(
     ["x", "y", "z"].map((id) => serverRecord(id, { slots: 16 })),
   );
--- a/packages/decisions/test/routing_test.ts
+++ b/packages/decisions/test/routing_test.ts
@@ -1,5 +1,5 @@
 import t from "tap";
-import { chooseTarget, RouteTable } from "../src/mod.ts";
+import { chooseService, RouteTable } from "../src/mod.ts";
 import type { Route } from "../src/mod.ts";
 
 function route(prefix: string, host = "a.example"): Route {
@@ -10,12 +10,12 @@
     repeatability: "idempotent",
     targets: [{ service: "orders", weight: 1 }],
     timeout: 1000,
-    goal: 100,
+    latencyGoal: 100,
     tierRank: 0,
     maximumServers: 1,
-    open: false,
+    allowsAnonymous: false,
     resumable: false,
-    longestPause: undefined,
+    pauseGoal: undefined,
   };
 }
 
@@ -42,9 +42,9 @@
     ...route("/"),
     targets: [{ service: "old", weight: 90 }, { service: "new", weight: 10 }],
   };
-  t.equal(chooseTarget(split, 0), "old");
-  t.equal(chooseTarget(split, 0.899), "old");
-  t.equal(chooseTarget(split, 0.901), "new");
-  t.equal(chooseTarget(split, 0.9999), "new");
+  t.equal(chooseService(split, 0), "old");
+  t.equal(chooseService(split, 0.899), "old");
+  t.equal(chooseService(split, 0.901), "new");
+  t.equal(chooseService(split, 0.9999), "new");
   t.end();
 });
--- a/packages/decisions/test/server_directory_test.ts
+++ b/packages/decisions/test/server_directory_test.ts
@@ -8,9 +8,9 @@
 
 t.test("a record that vanishes in quiet times is dropped at once", (t) => {
   const directory = new ServerDirectory();
-  directory.heard(0);
+  directory.recordStoreResponse(0);
   directory.replace([server("x"), server("y")], 5, 0);
-  directory.heard(1000);
+  directory.recordStoreResponse(1000);
   directory.remove("x", 1000);
   t.same(ids(directory, 1000), ["y"]);
   t.end();
@@ -21,13 +21,13 @@
   // leaves: its record is removed. Taken for the end of an outage, the record was
   // kept for two seconds, and the server got requests 2.1 s after it had left.
   const directory = new ServerDirectory();
-  directory.heard(0);
+  directory.recordStoreResponse(0);
   directory.replace([server("x"), server("y")], 5, 0);
-  directory.heard(6000);
+  directory.recordStoreResponse(6000);
   directory.remove("x", 6000);
   t.same(ids(directory, 6000), ["y"]);
-  directory.failed();
-  directory.heard(7000);
+  directory.recordStoreFailure();
+  directory.recordStoreResponse(7000);
   directory.remove("y", 7000);
   t.same(ids(directory, 7000), [], "one failed call is none either");
   t.end();
@@ -38,10 +38,10 @@
   // return the records are missing although all servers live: dropping them
   // refused every request of the service until they had registered again.
   const directory = new ServerDirectory();
-  directory.heard(0);
+  directory.recordStoreResponse(0);
   directory.replace([server("x"), server("y")], 5, 0);
-  directory.failed();
-  directory.heard(6000);
+  directory.recordStoreFailure();
+  directory.recordStoreResponse(6000);
   directory.replace([], 9, 6000);
   t.same(ids(directory, 7900), ["x", "y"]);
   directory.put("x", server("x"), 7950);
@@ -51,7 +51,7 @@
 
 t.test("a draining server, another start and a bad record are not used", (t) => {
   const directory = new ServerDirectory();
-  directory.heard(0);
+  directory.recordStoreResponse(0);
   const first = server("x");
   directory.replace([first], 5, 0);
   t.ok(directory.mayUse(first));
@@ -70,7 +70,7 @@
   // lapses seconds later; until then each request for the old id was rejected by
   // the new server, and 92 callers were refused in a second.
   const directory = new ServerDirectory();
-  directory.heard(0);
+  directory.recordStoreResponse(0);
   const old = server("old");
   directory.replace([old, server("z", { port: 81 })], 5, 0);
   t.same(ids(directory, 10), ["old", "z"]);
--- a/packages/decisions/test/server_limits_test.ts
+++ b/packages/decisions/test/server_limits_test.ts
@@ -5,18 +5,18 @@
 
 function observed(
   perSecond: number | undefined,
-  heardAt: number,
+  observedAt: number,
 ): LimitObservation {
-  return { perSecond, by: "entry", heardAt };
+  return { perSecond, by: "entry", observedAt: observedAt };
 }
 
 t.test("the newer observation holds", (t) => {
   const limits = new ServerLimits();
-  t.equal(limits.learn("s@1", observed(2, 100)), "changed");
-  t.equal(limits.learn("s@1", observed(3, 90)), "nothing");
+  t.equal(limits.observe("s@1", observed(2, 100)), "changed");
+  t.equal(limits.observe("s@1", observed(3, 90)), "nothing");
   t.equal(limits.find("s@1")?.perSecond, 2);
-  t.equal(limits.learn("s@1", observed(2, 110)), "confirmed");
-  t.equal(limits.learn("s@1", observed(1, 120)), "changed");
+  t.equal(limits.observe("s@1", observed(2, 110)), "confirmed");
+  t.equal(limits.observe("s@1", observed(1, 120)), "changed");
   t.equal(limits.find("s@1")?.perSecond, 1);
   t.equal(limits.find("s@2"), undefined);
   t.end();
@@ -24,29 +24,29 @@
 
 t.test("an answer that was under way does not end a limit", (t) => {
   const limits = new ServerLimits();
-  limits.learn("s@1", observed(2, 100));
-  t.equal(limits.learn("s@1", observed(undefined, 60)), "nothing");
+  limits.observe("s@1", observed(2, 100));
+  t.equal(limits.observe("s@1", observed(undefined, 60)), "nothing");
   t.equal(limits.find("s@1")?.perSecond, 2);
-  t.equal(limits.learn("s@1", observed(undefined, 130)), "changed");
+  t.equal(limits.observe("s@1", observed(undefined, 130)), "changed");
   t.equal(limits.find("s@1"), undefined);
-  t.same([...limits.inForce()], []);
+  t.same([...limits.activeLimits()], []);
   t.end();
 });
 
 t.test("a late observation does not revive a limit that ended", (t) => {
   const limits = new ServerLimits();
-  limits.learn("s@1", observed(2, 100));
-  limits.learn("s@1", observed(undefined, 130));
-  t.equal(limits.learn("s@1", observed(2, 120)), "nothing");
+  limits.observe("s@1", observed(2, 100));
+  limits.observe("s@1", observed(undefined, 130));
+  t.equal(limits.observe("s@1", observed(2, 120)), "nothing");
   t.equal(limits.find("s@1"), undefined);
-  t.equal(limits.learn("s@1", observed(2, 140)), "changed");
+  t.equal(limits.observe("s@1", observed(2, 140)), "changed");
   t.end();
 });
 
 t.test("servers without a limit are not remembered", (t) => {
   const limits = new ServerLimits();
-  t.equal(limits.learn("s@1", observed(undefined, 10)), "nothing");
-  t.equal(limits.learn("s@1", observed(2, 5)), "changed");
+  t.equal(limits.observe("s@1", observed(undefined, 10)), "nothing");
+  t.equal(limits.observe("s@1", observed(2, 5)), "changed");
   t.end();
 });
 
--- a/packages/decisions/test/virtual_engine.ts
+++ b/packages/decisions/test/simulated_engine.ts
@@ -16,13 +16,13 @@
 };
 
 /** What the engine runs at once; what is beyond waits inside it, in order. */
-export type EngineBounds = { sequences?: number; tokens?: number };
+export type EngineLimits = { sequences?: number; tokens?: number };
 
 /** What a caller received. */
 export type Answer = { id: string; firstToken: number; finished?: number };
 
 /** Grants from its queue as its limit allows, and runs step by step. */
-export class VirtualEngine {
+export class SimulatedEngine {
   readonly answers = new Map<string, Answer>();
   now = 0;
   speed = 1;
@@ -31,13 +31,13 @@
   steps = 0;
   readonly #queue: WaitingQueue;
   readonly #limit: ConcurrencyLimit;
-  readonly #bounds: EngineBounds;
+  readonly #bounds: EngineLimits;
   readonly #running = new Set<Sequence>();
 
   constructor(
     queue: WaitingQueue,
     limit: ConcurrencyLimit,
-    bounds: EngineBounds = {},
+    bounds: EngineLimits = {},
   ) {
     this.#queue = queue;
     this.#limit = limit;
@@ -118,6 +118,6 @@
 }
 
 /** A prompt and an answer in tokens. */
-export function tokens(promptTokens: number, outputTokens: number): Cost {
+export function tokenCost(promptTokens: number, outputTokens: number): Cost {
   return { promptTokens, outputTokens };
 }
--- a/packages/decisions/test/size_share_test.ts
+++ b/packages/decisions/test/size_share_test.ts
@@ -1,5 +1,5 @@
 import t from "tap";
-import { Desk } from "../src/mod.ts";
+import { GroupScheduler } from "../src/mod.ts";
 import { serverRecord } from "./server_record.ts";
 import { VirtualFleet } from "./virtual_fleet.ts";
 import type { Call, LoadKind } from "./virtual_fleet.ts";
@@ -66,7 +66,7 @@
 }
 
 function play(seed: number): VirtualFleet {
-  const desk = new Desk(LEEWAY);
+  const desk = new GroupScheduler(LEEWAY);
   const names = [...SPEEDS.keys()].map((name) => name.slice(0, 1));
   desk.setServers(names.map((id) => serverRecord(id, { slots: 16 })));
   const kinds = [...kindsOf("busy", 0.35, 8), ...kindsOf("calm", 0.65, 1)];
--- a/packages/decisions/test/state_pull_test.ts
+++ b/packages/decisions/test/state_pull_test.ts
@@ -7,9 +7,9 @@
 /** A pull that six peers have offered revision 5 to, until it asks at 250 ms. */
 function asking(): { pull: StatePull; peer: string } {
   const pull = new StatePull();
-  for (const peer of PEERS) pull.offered(peer, 5);
-  pull.next(4, 0, 0);
-  const request = pull.next(4, 250, 0.4);
+  for (const peer of PEERS) pull.recordOffer(peer, 5);
+  pull.nextRequest(4, 0, 0);
+  const request = pull.nextRequest(4, 250, 0.4);
   return { pull, peer: request?.peer ?? "" };
 }
 
@@ -18,8 +18,8 @@
   const asked: string[] = [];
   for (let now = 0; now < 900; now += 10) {
     for (const peer of PEERS) {
-      pull.offered(peer, 5);
-      const request = pull.next(4, now, 0.9);
+      pull.recordOffer(peer, 5);
+      const request = pull.nextRequest(4, now, 0.9);
       if (request !== undefined) asked.push(`${request.peer} at ${now}`);
     }
   }
@@ -29,44 +29,44 @@
 
 t.test("nobody is asked for what the store has told meanwhile", (t) => {
   const pull = new StatePull();
-  pull.offered("a", 5);
-  t.equal(pull.next(4, 0, 0), undefined);
-  t.equal(pull.next(5, 240, 0), undefined);
-  pull.offered("a", 6);
-  t.equal(pull.next(5, 300, 0), undefined, "patience begins anew");
-  t.match(pull.next(5, 550, 0), { peer: "a", revision: 6, offset: 0 });
+  pull.recordOffer("a", 5);
+  t.equal(pull.nextRequest(4, 0, 0), undefined);
+  t.equal(pull.nextRequest(5, 240, 0), undefined);
+  pull.recordOffer("a", 6);
+  t.equal(pull.nextRequest(5, 300, 0), undefined, "patience begins anew");
+  t.match(pull.nextRequest(5, 550, 0), { peer: "a", revision: 6, offset: 0 });
   t.end();
 });
 
 t.test("parts are asked for one after the other until all is there", (t) => {
   const { pull, peer } = asking();
   const part = { revision: 5, total: 25, bytes: PART };
-  t.match(pull.received(peer, { ...part, offset: 0 }, 300), {
+  t.match(pull.receivePart(peer, { ...part, offset: 0 }, 300), {
     kind: "ask",
     request: { peer, revision: 5, offset: 10 },
   });
-  t.equal(pull.received(peer, { ...part, offset: 0 }, 310).kind, "ignored");
+  t.equal(pull.receivePart(peer, { ...part, offset: 0 }, 310).kind, "ignored");
   const empty = { ...part, offset: 10, bytes: PART.subarray(0, 0) };
-  t.equal(pull.received(peer, empty, 310).kind, "ignored");
-  t.equal(pull.received("z", { ...part, offset: 10 }, 310).kind, "ignored");
-  t.equal(pull.next(4, 900, 0), undefined, "it makes progress");
-  t.equal(pull.received(peer, { ...part, offset: 10 }, 950).kind, "ask");
+  t.equal(pull.receivePart(peer, empty, 310).kind, "ignored");
+  t.equal(pull.receivePart("z", { ...part, offset: 10 }, 310).kind, "ignored");
+  t.equal(pull.nextRequest(4, 900, 0), undefined, "it makes progress");
+  t.equal(pull.receivePart(peer, { ...part, offset: 10 }, 950).kind, "ask");
   const bytes = PART.subarray(0, 5);
-  const last = pull.received(peer, { ...part, offset: 20, bytes }, 1600);
+  const last = pull.receivePart(peer, { ...part, offset: 20, bytes }, 1600);
   t.match(last, { kind: "whole", revision: 5 });
   t.equal(last.kind === "whole" && last.parts.length, 3);
-  t.equal(pull.next(4, 1700, 0), undefined, "it is being taken over");
-  t.equal(pull.next(5, 1710, 0), undefined);
+  t.equal(pull.nextRequest(4, 1700, 0), undefined, "it is being taken over");
+  t.equal(pull.nextRequest(5, 1710, 0), undefined);
   t.end();
 });
 
 t.test("a peer that is lost or sends nothing gives way to another", (t) => {
   const { pull, peer } = asking();
-  t.equal(pull.next(4, 900, 0.4), undefined);
-  const second = pull.next(4, 950, 0.4)?.peer;
+  t.equal(pull.nextRequest(4, 900, 0.4), undefined);
+  const second = pull.nextRequest(4, 950, 0.4)?.peer;
   t.not(second, peer);
-  pull.lost(second!);
-  const third = pull.next(4, 960, 0.4)?.peer;
+  pull.removePeer(second!);
+  const third = pull.nextRequest(4, 960, 0.4)?.peer;
   t.notOk([peer, second].includes(third));
   t.ok(third);
   t.end();
@@ -75,13 +75,13 @@
 t.test("a peer that has a newer revision by now sends that one", (t) => {
   const { pull, peer } = asking();
   const part = { revision: 5, offset: 0, total: 25, bytes: PART };
-  pull.received(peer, part, 300);
+  pull.receivePart(peer, part, 300);
   const newer = { revision: 7, total: 12, bytes: PART };
-  t.match(pull.received(peer, { ...newer, offset: 10 }, 310), {
+  t.match(pull.receivePart(peer, { ...newer, offset: 10 }, 310), {
     kind: "ask",
     request: { revision: 7, offset: 0 },
   });
-  t.match(pull.received(peer, { ...newer, offset: 0 }, 320), {
+  t.match(pull.receivePart(peer, { ...newer, offset: 0 }, 320), {
     kind: "ask",
     request: { revision: 7, offset: 10 },
   });
@@ -91,15 +91,15 @@
 t.test("what is spoilt is asked of another peer, what can't be read of none", (t) => {
   const { pull, peer } = asking();
   const part = { revision: 5, offset: 0, total: 10, bytes: PART };
-  t.equal(pull.received(peer, part, 300).kind, "whole");
-  pull.failed(peer);
-  const other = pull.next(4, 310, 0.4)?.peer ?? "";
+  t.equal(pull.receivePart(peer, part, 300).kind, "whole");
+  pull.markCorrupted(peer);
+  const other = pull.nextRequest(4, 310, 0.4)?.peer ?? "";
   t.not(other, peer);
-  t.equal(pull.received(other, part, 320).kind, "whole");
-  pull.unusable(5);
-  t.equal(pull.next(4, 5000, 0.4), undefined);
-  pull.offered("a", 6);
-  pull.next(4, 5010, 0);
-  t.match(pull.next(4, 5300, 0), { peer: "a", revision: 6 });
+  t.equal(pull.receivePart(other, part, 320).kind, "whole");
+  pull.markUnusable(5);
+  t.equal(pull.nextRequest(4, 5000, 0.4), undefined);
+  pull.recordOffer("a", 6);
+  pull.nextRequest(4, 5010, 0);
+  t.match(pull.nextRequest(4, 5300, 0), { peer: "a", revision: 6 });
   t.end();
 });
--- a/packages/decisions/test/suspects_test.ts
+++ b/packages/decisions/test/suspects_test.ts
@@ -1,58 +1,61 @@
 import fc from "fast-check";
 import t from "tap";
-import { Suspects } from "../src/mod.ts";
+import { CrashSuspects } from "../src/mod.ts";
 
 t.test("the second crash while alone quarantines, a clean run clears", (t) => {
   // A caller's request kills the engine that runs it and takes two others'
   // requests with it. All three callers send theirs again.
-  const suspects = new Suspects();
-  suspects.crashed(["poison", "first", "second"], "s0", 0);
+  const suspects = new CrashSuspects();
+  suspects.recordCrash(["poison", "first", "second"], "s0", 0);
   for (const fingerprint of ["poison", "first", "second"]) {
     t.equal(suspects.verdict(fingerprint, 1).kind, "suspect");
   }
-  t.ok(suspects.started("first", "s1", 1));
-  t.notOk(suspects.started("poison", "s2", 2), "one at risk at a time");
-  suspects.completed("first", 10);
+  t.ok(suspects.tryStartRun("first", "s1", 1));
+  t.notOk(suspects.tryStartRun("poison", "s2", 2), "one at risk at a time");
+  suspects.recordCleanRun("first", 10);
   t.equal(suspects.verdict("first", 10).kind, "clear");
-  t.ok(suspects.started("poison", "s2", 11));
-  suspects.crashed(["poison"], "s2", 12);
+  t.ok(suspects.tryStartRun("poison", "s2", 11));
+  suspects.recordCrash(["poison"], "s2", 12);
   t.strictSame(suspects.verdict("poison", 13), {
     kind: "quarantined",
     retryAfter: 599_999,
   });
-  t.ok(suspects.started("second", "s1", 14), "the crash gave the turn back");
-  suspects.completed("second", 15);
+  t.ok(
+    suspects.tryStartRun("second", "s1", 14),
+    "the crash gave the turn back",
+  );
+  suspects.recordCleanRun("second", 15);
   t.equal(suspects.verdict("second", 15).kind, "clear");
   t.end();
 });
 
 t.test("a crash heard twice counts once", (t) => {
-  const suspects = new Suspects();
-  suspects.crashed(["poison"], "s0", 0);
-  suspects.crashed(["poison"], "s0", 5);
+  const suspects = new CrashSuspects();
+  suspects.recordCrash(["poison"], "s0", 0);
+  suspects.recordCrash(["poison"], "s0", 5);
   t.equal(suspects.verdict("poison", 6).kind, "suspect");
-  suspects.started("poison", "s0", 7);
-  suspects.crashed(["poison"], "s0", 8);
+  suspects.tryStartRun("poison", "s0", 7);
+  suspects.recordCrash(["poison"], "s0", 8);
   t.equal(suspects.verdict("poison", 9).kind, "quarantined");
   t.end();
 });
 
 t.test("a popular request beside two crashes is not quarantined", (t) => {
-  const suspects = new Suspects();
-  suspects.crashed(["poison", "popular"], "s0", 0);
-  suspects.crashed(["poison", "popular"], "s1", 1);
+  const suspects = new CrashSuspects();
+  suspects.recordCrash(["poison", "popular"], "s0", 0);
+  suspects.recordCrash(["poison", "popular"], "s1", 1);
   t.equal(suspects.verdict("popular", 2).kind, "suspect");
-  suspects.started("popular", "s2", 3);
-  suspects.completed("popular", 4);
+  suspects.tryStartRun("popular", "s2", 3);
+  suspects.recordCleanRun("popular", 4);
   t.equal(suspects.verdict("popular", 5).kind, "clear");
   t.end();
 });
 
 t.test("a quarantine ends as a suspicion, and a suspicion ends", (t) => {
-  const suspects = new Suspects();
-  suspects.crashed(["poison"], "s0", 0);
-  suspects.started("poison", "s1", 1);
-  suspects.crashed(["poison"], "s1", 2);
+  const suspects = new CrashSuspects();
+  suspects.recordCrash(["poison"], "s0", 0);
+  suspects.tryStartRun("poison", "s1", 1);
+  suspects.recordCrash(["poison"], "s1", 2);
   t.equal(suspects.verdict("poison", 600_001).kind, "quarantined");
   t.equal(suspects.verdict("poison", 600_002).kind, "suspect");
   t.equal(suspects.verdict("poison", 1_200_002).kind, "clear");
@@ -69,7 +72,7 @@
       fc.array(arrival, { maxLength: 200 }),
       fc.integer({ min: 1, max: 3 }),
       (arrivals, poisons) => {
-        const suspects = new Suspects();
+        const suspects = new CrashSuspects();
         const running = [0, 1, 2, 3].map(() => new Set<string>());
         const alone = new Set<number>();
         const crashes = new Map<string, number>();
@@ -86,19 +89,19 @@
           }
           if (alone.has(server)) {
             // What runs alone ends before anything else may start.
-            for (const done of batch) suspects.completed(done, now);
+            for (const done of batch) suspects.recordCleanRun(done, now);
             batch.clear();
             alone.delete(server);
           }
           if (kind === "suspect") {
             if (batch.size > 0) continue;
-            if (!suspects.started(name, `s${server}`, now)) continue;
+            if (!suspects.tryStartRun(name, `s${server}`, now)) continue;
             alone.add(server);
           }
           batch.add(name);
           if (fingerprint >= poisons) continue;
           crashes.set(name, (crashes.get(name) ?? 0) + 1);
-          suspects.crashed([...batch], `s${server}`, now);
+          suspects.recordCrash([...batch], `s${server}`, now);
           batch.clear();
           alone.delete(server);
         }
@@ -112,8 +115,8 @@
 });
 
 t.test("peers that tell each other everything agree", (t) => {
-  const peers = [new Suspects(), new Suspects(), new Suspects()];
-  peers[0]!.crashed(["poison", "innocent"], "s0", 0);
+  const peers = [new CrashSuspects(), new CrashSuspects(), new CrashSuspects()];
+  peers[0]!.recordCrash(["poison", "innocent"], "s0", 0);
   const tell = (now: number) => {
     for (const from of peers) {
       for (const to of peers) to.merge(from.statements(now), now);
@@ -121,10 +124,10 @@
   };
   tell(1);
   t.equal(peers[1]!.verdict("poison", 2).kind, "suspect");
-  peers[1]!.started("poison", "s1", 2);
-  peers[1]!.crashed(["poison"], "s1", 3);
-  peers[2]!.started("innocent", "s2", 3);
-  peers[2]!.completed("innocent", 4);
+  peers[1]!.tryStartRun("poison", "s1", 2);
+  peers[1]!.recordCrash(["poison"], "s1", 3);
+  peers[2]!.tryStartRun("innocent", "s2", 3);
+  peers[2]!.recordCleanRun("innocent", 4);
   tell(5);
   tell(6);
   for (const peer of peers) {
@@ -135,10 +138,10 @@
 });
 
 t.test("memory stays bounded under ever new fingerprints", (t) => {
-  const suspects = new Suspects();
+  const suspects = new CrashSuspects();
   for (let crash = 0; crash < 200; crash++) {
     const batch = Array.from({ length: 64 }, (_, index) => `${crash}/${index}`);
-    suspects.crashed(batch, `s${crash}`, crash);
+    suspects.recordCrash(batch, `s${crash}`, crash);
   }
   t.equal(suspects.statements(200).length, 4096);
   t.end();
--- a/packages/decisions/test/token_limit_test.ts
+++ b/packages/decisions/test/token_limit_test.ts
@@ -1,26 +1,26 @@
 import t from "tap";
 import { TokenLimit, WaitingQueue } from "../src/mod.ts";
 import type { Cost } from "../src/mod.ts";
-import type { EngineBounds } from "./virtual_engine.ts";
-import { tokens, VirtualEngine } from "./virtual_engine.ts";
-import { waiting } from "./waiting.ts";
+import type { EngineLimits } from "./simulated_engine.ts";
+import { SimulatedEngine, tokenCost } from "./simulated_engine.ts";
+import { waitingReservation } from "./waiting_reservation.ts";
 
 const GOAL = 38;
-const REPLY = tokens(500, 80);
-const QUOTE = tokens(5000, 2000);
-const IDENTIFICATION = tokens(400, 12);
+const REPLY = tokenCost(500, 80);
+const QUOTE = tokenCost(5000, 2000);
+const IDENTIFICATION = tokenCost(400, 12);
 
-function engineOf(speed: number, bounds: EngineBounds = {}) {
+function engineOf(speed: number, bounds: EngineLimits = {}) {
   const queue = new WaitingQueue({ capacity: 100 });
   const limit = new TokenLimit();
-  const engine = new VirtualEngine(queue, limit, bounds);
+  const engine = new SimulatedEngine(queue, limit, bounds);
   engine.speed = speed;
   let count = 0;
   const offer = (cost: Cost, fields = {}) => {
     count += 1;
     const arrived = engine.now;
     const times = { arrived, deadline: arrived + 600_000 };
-    const one = waiting(`${count}`, { cost, ...times, ...fields });
+    const one = waitingReservation(`${count}`, { cost, ...times, ...fields });
     queue.offer(one, arrived);
     return one.id;
   };
@@ -33,7 +33,11 @@
 }
 
 /** Mean time between tokens over some seconds. */
-function meanStep(engine: VirtualEngine, seconds: number, arrive: () => void) {
+function meanStep(
+  engine: SimulatedEngine,
+  seconds: number,
+  arrive: () => void,
+) {
   const start = engine.now;
   const steps = engine.steps;
   engine.run(start + seconds * 1000, arrive);
@@ -81,7 +85,7 @@
   }
   limit.started("late", REPLY, 5000);
   t.equal(limit.limit, 2);
-  t.equal(limit.admits(waiting("more", { cost: REPLY })), false);
+  t.equal(limit.admits(waitingReservation("more", { cost: REPLY })), false);
   t.end();
 });
 
@@ -178,9 +182,9 @@
 
 t.test("a large quote is not passed over by smaller ones for ever", (t) => {
   const { engine, offer, keepWaiting } = engineOf(1);
-  engine.run(60_000, () => keepWaiting(tokens(4000, 900)));
-  const large = offer(tokens(60_000, 2000));
-  engine.run(180_000, () => keepWaiting(tokens(4000, 900)));
+  engine.run(60_000, () => keepWaiting(tokenCost(4000, 900)));
+  const large = offer(tokenCost(60_000, 2000));
+  engine.run(180_000, () => keepWaiting(tokenCost(4000, 900)));
   t.ok(engine.answers.has(large) || engine.isRunning(large));
   t.end();
 });
--- a/packages/decisions/test/virtual_fleet.ts
+++ b/packages/decisions/test/virtual_fleet.ts
@@ -6,7 +6,12 @@
  */
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import type { Ask, AskVerdict, Cost, Desk } from "../src/mod.ts";
+import type {
+  Cost,
+  GrantDecision,
+  GrantRequest,
+  GroupScheduler,
+} from "../src/mod.ts";
 
 /** Milliseconds of one step of the simulation. */
 const TICK = 5;
@@ -47,7 +52,7 @@
 };
 
 type Running = {
-  ask: Ask;
+  ask: GrantRequest;
   call: Call;
   startedAt: number;
   unread: number;
@@ -85,7 +90,7 @@
   readonly grants: { at: number; organisation: string; charge: number }[] = [];
   /** All requests in order of arrival, without retries. */
   readonly requests: Call[] = [];
-  readonly #desk: Desk;
+  readonly #desk: GroupScheduler;
   readonly #kinds: readonly LoadKind[];
   readonly #engines = new Map<string, Engine>();
   readonly #calls = new Map<string, Call>();
@@ -94,7 +99,7 @@
   #number = 0;
 
   constructor(options: {
-    desk: Desk;
+    desk: GroupScheduler;
     kinds: readonly LoadKind[];
     /** By the name that the desk grants them under. */
     speeds: ReadonlyMap<string, number>;
@@ -124,7 +129,7 @@
       if (now < end) this.#arrive(now);
       this.#comeBack(now);
       for (const engine of this.#engines.values()) this.#step(engine, now);
-      for (const verdict of this.#desk.verdicts(now)) this.#take(verdict, now);
+      for (const verdict of this.#desk.decide(now)) this.#take(verdict, now);
     }
   }
 
@@ -163,7 +168,7 @@
     const { kind, cost } = call;
     const id = `ask-${++this.#number}`;
     const endsAt = call.bornAt + kind.deadline;
-    const ask: Ask = {
+    const ask: GrantRequest = {
       id,
       entry: "entry",
       service: kind.service,
@@ -174,20 +179,20 @@
       cost,
       charge: cost.promptTokens + cost.outputTokens,
       arrived: now,
-      goalAt: now + kind.goal,
-      lapsesAt: now + Math.min(kind.patience, (endsAt - now) / 4),
-      endsAt,
+      latencyGoalAt: now + kind.goal,
+      expiresAt: now + Math.min(kind.patience, (endsAt - now) / 4),
+      deadline: endsAt,
       fingerprint: `${kind.name}-${call.bornAt}`,
-      spread: this.#draw(),
-      avoid: [],
+      jitter: this.#draw(),
+      excludedServers: [],
     };
     this.#calls.set(id, call);
-    const verdict = this.#desk.ask(ask, now);
+    const verdict = this.#desk.submit(ask, now);
     if (verdict !== undefined) this.#take(verdict, now);
   }
 
-  #take(verdict: AskVerdict, now: number): void {
-    const { ask } = verdict;
+  #take(verdict: GrantDecision, now: number): void {
+    const { request: ask } = verdict;
     const call = this.#calls.get(ask.id)!;
     if (verdict.kind === "refuse") {
       this.#calls.delete(ask.id);
@@ -238,11 +243,11 @@
       if (run.unread >= 1 || now - run.startedAt < FIRST_TOKEN) continue;
       if (run.firstAt === undefined) {
         run.firstAt = now;
-        this.#desk.firstAnswer(run.ask.id, now - run.startedAt, now);
+        this.#desk.recordResponseStart(run.ask.id, now - run.startedAt, now);
       }
       run.left--;
       const whole = run.left <= 0;
-      if (!whole && now < run.ask.endsAt) continue;
+      if (!whole && now < run.ask.deadline) continue;
       engine.running.splice(engine.running.indexOf(run), 1);
       this.#ended(run, whole, now);
     }
@@ -252,8 +257,8 @@
     const { ask, call, firstAt = now } = run;
     const tokens = ask.cost.outputTokens;
     const pace = { tokens, measured: now - firstAt, pausePart: 0.3 };
-    this.#desk.restAnswered(ask.id, pace, now);
-    this.#desk.ended(ask.id, whole ? "answered" : "abandoned", now);
+    this.#desk.recordStreamTiming(ask.id, pace, now);
+    this.#desk.recordEnd(ask.id, whole ? "answered" : "abandoned", now);
     this.#calls.delete(ask.id);
     const result = this.results.get(call.kind.name)!;
     call.outcome.served = whole;
--- a/packages/decisions/test/waiting_queue_test.ts
+++ b/packages/decisions/test/waiting_queue_test.ts
@@ -1,8 +1,8 @@
 import fc from "fast-check";
 import t from "tap";
 import { WaitingQueue } from "../src/mod.ts";
-import type { Cost, Waiting } from "../src/mod.ts";
-import { waiting } from "./waiting.ts";
+import type { Cost, WaitingReservation } from "../src/mod.ts";
+import { waitingReservation } from "./waiting_reservation.ts";
 
 const SEED = { seed: 4 };
 const always = () => true;
@@ -16,11 +16,11 @@
 // bound that refuses whatever comes last.
 t.test("full queue sheds the lowest tier first", (t) => {
   const queue = new WaitingQueue({ capacity: 2 });
-  queue.offer(waiting("old tag", { tierRank: 2 }), 0);
-  queue.offer(waiting("new tag", { tierRank: 2 }), 0);
-  const reply = queue.offer(waiting("reply"), 0);
+  queue.offer(waitingReservation("old tag", { tierRank: 2 }), 0);
+  queue.offer(waitingReservation("new tag", { tierRank: 2 }), 0);
+  const reply = queue.offer(waitingReservation("reply"), 0);
   t.match(reply, { queued: true, evicted: [{ id: "new tag" }] });
-  t.match(queue.offer(waiting("late tag", { tierRank: 2 }), 0), {
+  t.match(queue.offer(waitingReservation("late tag", { tierRank: 2 }), 0), {
     queued: false,
     reason: "queue_full",
   });
@@ -33,9 +33,12 @@
 t.test("a flooding organisation shuts nobody out", (t) => {
   const queue = new WaitingQueue({ capacity: 100 });
   for (let index = 0; index < 1000; index += 1) {
-    queue.offer(waiting(`hot ${index}`, { organisation: "hot" }), 0);
+    queue.offer(waitingReservation(`hot ${index}`, { organisation: "hot" }), 0);
   }
-  const offer = queue.offer(waiting("small", { organisation: "small" }), 0);
+  const offer = queue.offer(
+    waitingReservation("small", { organisation: "small" }),
+    0,
+  );
   t.match(offer, { queued: true, evicted: [{ id: "hot 99" }] });
   queue.take(0, always);
   t.equal(queue.take(0, always)?.id, "small");
@@ -46,10 +49,11 @@
 // would wait for the quote although the engine idles.
 t.test("a long head without room is passed over", (t) => {
   const queue = new WaitingQueue({ capacity: 10 });
-  queue.offer(waiting("quote", { cost: cost(5000) }), 0);
-  queue.offer(waiting("identification", { cost: cost(50) }), 0);
-  queue.offer(waiting("tag", { tierRank: 3, cost: cost(40) }), 0);
-  const roomForShort = ({ cost }: Waiting) => cost.outputTokens < 100;
+  queue.offer(waitingReservation("quote", { cost: cost(5000) }), 0);
+  queue.offer(waitingReservation("identification", { cost: cost(50) }), 0);
+  queue.offer(waitingReservation("tag", { tierRank: 3, cost: cost(40) }), 0);
+  const roomForShort = ({ cost }: WaitingReservation) =>
+    cost.outputTokens < 100;
   t.equal(queue.take(0, roomForShort)?.id, "identification");
   t.equal(queue.take(0, roomForShort)?.id, "tag");
   t.equal(queue.take(0, always)?.id, "quote");
@@ -61,9 +65,12 @@
     capacity: 10,
     serviceTimeOf: (cost) => cost.outputTokens,
   });
-  const late = waiting("late", { cost: cost(100), deadline: 99 });
+  const late = waitingReservation("late", { cost: cost(100), deadline: 99 });
   t.match(queue.offer(late, 0), { queued: false, reason: "deadline" });
-  queue.offer(waiting("quote", { cost: cost(100), deadline: 150 }), 0);
+  queue.offer(
+    waitingReservation("quote", { cost: cost(100), deadline: 150 }),
+    0,
+  );
   t.same(queue.expire(50), []);
   t.equal(queue.take(51, always), undefined);
   t.match(queue.expire(51), [{ id: "quote" }]);
@@ -80,7 +87,10 @@
     serviceTimeOf: () => serviceTime,
   });
   const offerAt = (now: number) => {
-    return queue.offer(waiting(`${now}`, { deadline: now + 5000 }), now).queued;
+    return queue.offer(
+      waitingReservation(`${now}`, { deadline: now + 5000 }),
+      now,
+    ).queued;
   };
   t.equal(offerAt(0), false);
   t.equal(offerAt(10_001), true);
@@ -96,13 +106,16 @@
 
 t.test("a lapsed grant costs its organisation nothing", (t) => {
   const queue = new WaitingQueue({ capacity: 10 });
-  queue.offer(waiting("a1", { organisation: "a", cost: cost(7) }), 0);
-  queue.offer(waiting("a2", { organisation: "a" }), 0);
-  queue.offer(waiting("b1", { organisation: "b" }), 0);
-  queue.offer(waiting("b2", { organisation: "b" }), 0);
+  queue.offer(
+    waitingReservation("a1", { organisation: "a", cost: cost(7) }),
+    0,
+  );
+  queue.offer(waitingReservation("a2", { organisation: "a" }), 0);
+  queue.offer(waitingReservation("b1", { organisation: "b" }), 0);
+  queue.offer(waitingReservation("b2", { organisation: "b" }), 0);
   const lapsed = queue.take(0, always);
   t.equal(lapsed?.id, "a1");
-  queue.settle(lapsed as Waiting, cost(0));
+  queue.correctCharge(lapsed as WaitingReservation, cost(0));
   const order = [1, 2, 3].map(() => queue.take(0, always)?.id);
   t.same(order, ["b1", "a2", "b2"]);
   t.end();
@@ -143,7 +156,10 @@
           const id = String(offered);
           offered += 1;
           const { remaining, ...fields } = step.offer;
-          const arrival = waiting(id, { ...fields, deadline: now + remaining });
+          const arrival = waitingReservation(id, {
+            ...fields,
+            deadline: now + remaining,
+          });
           const offer = queue.offer(arrival, now);
           if (offer.queued) {
             for (const victim of offer.evicted) {
@@ -191,7 +207,7 @@
       const held: number[] = [];
       for (const [id, fields] of arrivals.entries()) {
         const offer = queue.offer(
-          waiting(String(id), { ...fields, deadline: 1000 }),
+          waitingReservation(String(id), { ...fields, deadline: 1000 }),
           0,
         );
         const lowest = Math.max(...held);
@@ -240,7 +256,10 @@
             organisation: String(flow),
             weight: weights[flow] ?? 1,
           };
-          queue.offer(waiting(id, { ...fields, cost: cost(size) }), 0);
+          queue.offer(
+            waitingReservation(id, { ...fields, cost: cost(size) }),
+            0,
+          );
         }
       }
       while (left.every((count) => count > 0)) {
--- a/packages/decisions/test/waiting.ts
+++ b/packages/decisions/test/waiting_reservation.ts
@@ -1,7 +1,10 @@
 /** A waiting reservation with the fields that a test does not care about. @module */
-import type { Waiting } from "../src/mod.ts";
+import type { WaitingReservation } from "../src/mod.ts";
 
-export function waiting(id: string, fields: Partial<Waiting> = {}): Waiting {
+export function waitingReservation(
+  id: string,
+  fields: Partial<WaitingReservation> = {},
+): WaitingReservation {
   return {
     id,
     tierRank: 0,
--- a/packages/gateway/src/backend/channel_pool.ts
+++ b/packages/gateway/src/backend/connection_pool.ts
@@ -13,7 +13,7 @@
 const CONNECT_TIMEOUT = 300;
 
 /** Keeps connections for the next request. */
-export class ChannelPool {
+export class ConnectionPool {
   readonly #idle = new Map<string, Channel[]>();
   readonly #clock: () => number;
 
@@ -60,7 +60,7 @@
   }
 
   /** Closes connections that have been idle too long, and those of servers gone. */
-  sweep(servers: readonly ServerRecord[]): void {
+  closeStale(servers: readonly ServerRecord[]): void {
     const now = this.#clock();
     const known = new Set(servers.map(incarnationOf));
     for (const [name, idle] of this.#idle) {
--- a/packages/gateway/src/backend/servers_in_use.ts
+++ b/packages/gateway/src/backend/usable_servers.ts
@@ -3,7 +3,7 @@
 import type { ServerDirectory, ServerRecord } from "@sycamorepulley/decisions";
 
 /** See the module. */
-export class ServersInUse {
+export class UsableServers {
   readonly #directory: ServerDirectory;
   readonly #servers = new Map<string, ServerRecord>();
 
--- a/packages/gateway/src/fleet_standing.ts
+++ b/packages/gateway/src/fleet_standing.ts
@@ -3,9 +3,9 @@
  * from which shares it grants.
  * @module
  */
-import { sharesOfFleet } from "@sycamorepulley/decisions";
-import type { Granter } from "./peers/granter.ts";
-import type { FleetView } from "./peers/granter.ts";
+import { totalShares } from "@sycamorepulley/decisions";
+import type { GrantClient } from "./peers/grant_client.ts";
+import type { FleetView } from "./peers/grant_client.ts";
 import type { PeerStanding } from "./peers/peer_link.ts";
 import type { Peers } from "./peers/peers.ts";
 import { processorsOf } from "./settings.ts";
@@ -20,7 +20,7 @@
   leaving: () => boolean;
   state: FleetState;
   peers: Peers;
-  granter: Granter;
+  granter: GrantClient;
   membership: Membership;
   clock: () => number;
 };
@@ -53,9 +53,9 @@
   shares(): number {
     const { state, peers, clock } = this.#parts;
     const present = [...peers.entries(), this.#self()]
-      .map(({ name, listed }) => ({ name, listed, asks: false }));
+      .map(({ name, listed }) => ({ name, listed, asksThisEntry: false }));
     const shares = state.roll.shares(clock());
-    return sharesOfFleet({ present, shares });
+    return totalShares({ present, shares });
   }
 
   /** Works out anew who grants, and from which parts. */
--- a/packages/gateway/src/front/header_names.ts
+++ b/packages/gateway/src/front/header_names.ts
@@ -3,12 +3,12 @@
 /** Header names as sent; they are compared without regard to case. */
 export type HeaderNames = {
   /** Names one try of one request; servers echo it. */
-  request: string;
+  requestId: string;
   credential: string;
   /** Set by the gateway: whose credential it was. */
   organisation: string;
   /** Milliseconds that are left for the request. */
-  timeLeft: string;
+  remainingTime: string;
   /** Set by the gateway: the server that is meant. */
   expectedServer: string;
   /** A server's word that it did not run the request. */
@@ -20,9 +20,9 @@
   /** Prompt tokens and most output tokens. */
   tokenUsage: string;
   /** A caller's estimate of the tokens of its answer. */
-  expectedTokens: string;
+  expectedOutputTokens: string;
   /** Where a stream goes on. */
-  lastEvent: string;
+  lastEventId: string;
   /** Headers that only the system itself may set; dropped from callers. */
   reserved: readonly string[];
 };
--- a/packages/gateway/src/front/front.ts
+++ b/packages/gateway/src/front/http_frontend.ts
@@ -4,7 +4,7 @@
 import type { Socket } from "node:net";
 import { listen } from "../listen.ts";
 import type { Address } from "../settings.ts";
-import type { FrontLimits } from "../state/gateway_configuration.ts";
+import type { CallerLimits } from "../state/gateway_configuration.ts";
 
 /**
  * Milliseconds beyond the stated idle time for which a connection is kept: a
@@ -25,7 +25,7 @@
 ) => void;
 
 /** See the module. */
-export class Front {
+export class HttpFrontend {
   readonly #server: Server;
   /** Connections that this side has ended and the caller not yet. */
   readonly #ended = new WeakSet<Socket>();
@@ -59,7 +59,7 @@
   }
 
   /** Applies the limits of a new configuration to what arrives from now on. */
-  limit(limits: FrontLimits): void {
+  applyLimits(limits: CallerLimits): void {
     this.#server.headersTimeout = limits.headerTimeout;
     this.#server.keepAliveTimeout = limits.idleTimeout + IDLE_MARGIN;
   }
@@ -69,23 +69,23 @@
   }
 
   /** Answers ask connections to end; new connections are still taken. */
-  startClosing(): void {
+  startDraining(): void {
     this.#closing = true;
   }
 
   /** Takes no connection any more and ends those that are idle. */
   stopListening(): void {
     this.#server.close();
-    this.closeIdle();
+    this.closeIdleConnections();
   }
 
   /** Ends connections that no request is on. */
-  closeIdle(): void {
+  closeIdleConnections(): void {
     this.#server.closeIdleConnections();
   }
 
   /** Ends whatever is left. */
-  cut(): void {
+  closeAllConnections(): void {
     this.#server.closeAllConnections();
   }
 
--- a/packages/gateway/src/front/call.ts
+++ b/packages/gateway/src/front/parsed_request.ts
@@ -24,7 +24,7 @@
 };
 
 /** Reads callers' requests by one platform's names. */
-export class CallReader {
+export class RequestParser {
   readonly #names: HeaderNames;
   readonly #dropped: ReadonlySet<string>;
   readonly #kept: ReadonlySet<string>;
@@ -37,26 +37,26 @@
         names.credential,
         names.organisation,
         names.expectedServer,
-        names.timeLeft,
+        names.remainingTime,
       ].map((name) => name.toLowerCase()),
     );
     this.#kept = new Set(
-      [names.request, names.tokenUsage, names.lastEvent, "host"]
+      [names.requestId, names.tokenUsage, names.lastEventId, "host"]
         .map((name) => name.toLowerCase()),
     );
   }
 
-  read(message: IncomingMessage, now: number): Call {
+  parse(message: IncomingMessage, now: number): Call {
     const names = this.#names;
     return {
-      request: valueOf(message, names.request) ?? "",
+      request: valueOf(message, names.requestId) ?? "",
       method: message.method ?? "GET",
       target: message.url ?? "/",
       host: message.headers.host ?? "",
       credential: valueOf(message, names.credential),
       tokens: tokensOf(valueOf(message, names.tokenUsage)),
-      expectedTokens: positive(valueOf(message, names.expectedTokens)),
-      timeLeft: positive(valueOf(message, names.timeLeft)),
+      expectedTokens: positive(valueOf(message, names.expectedOutputTokens)),
+      timeLeft: positive(valueOf(message, names.remainingTime)),
       headers: forwardedHeaders(
         message.rawHeaders,
         this.#dropped,
--- a/packages/gateway/src/front/status_pages.ts
+++ b/packages/gateway/src/front/status_server.ts
@@ -7,21 +7,21 @@
 import type { GatewayMetrics } from "../observe/metrics.ts";
 import type { Address } from "../settings.ts";
 
-/** Options of {@link StatusPages}. */
-export type StatusPagesOptions = {
+/** Options of {@link StatusServer}. */
+export type StatusServerOptions = {
   metrics: GatewayMetrics;
   /** Whether new callers should be sent here. */
-  ready: () => boolean;
+  isReady: () => boolean;
   /** Brings gauges up to date. */
-  refresh: () => void;
+  updateGauges: () => void;
 };
 
 /** `/readiness` for the balancer; `/metrics` on an address of its own. */
-export class StatusPages {
-  readonly #options: StatusPagesOptions;
+export class StatusServer {
+  readonly #options: StatusServerOptions;
   readonly #servers: Server[] = [];
 
-  constructor(options: StatusPagesOptions) {
+  constructor(options: StatusServerOptions) {
     this.#options = options;
   }
 
@@ -42,7 +42,7 @@
   }
 
   #start(address: Address): Promise<number> {
-    const { metrics, ready, refresh } = this.#options;
+    const { metrics, isReady: ready, updateGauges: refresh } = this.#options;
     const application = polka()
       .get("/readiness", (_request, response) => {
         response.statusCode = ready() ? 200 : 503;
