--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -7,28 +7,28 @@
 import { HEARTBEAT_EVERY, ProcessLifecycle } from "@sycamorepulley/decisions";
 import type { MetadataStore } from "@sycamorepulley/store";
 import type { Result } from "true-myth/result";
-import { ChannelPool } from "./backend/channel_pool.ts";
-import { ServersInUse } from "./backend/servers_in_use.ts";
+import { ConnectionPool } from "./backend/connection_pool.ts";
+import { UsableServers } from "./backend/usable_servers.ts";
 import { FleetStanding } from "./fleet_standing.ts";
-import { CallReader } from "./front/call.ts";
-import { Front } from "./front/front.ts";
+import { RequestParser } from "./front/parsed_request.ts";
+import { HttpFrontend } from "./front/http_frontend.ts";
 import { GracefulStop } from "./graceful_stop.ts";
 import { GatewayPeerEvents } from "./gateway_peer_events.ts";
 import type { HeaderNames } from "./front/header_names.ts";
-import { StatusPages } from "./front/status_pages.ts";
-import { EventLog, OutputSink } from "./observe/event_log.ts";
+import { StatusServer } from "./front/status_server.ts";
+import { EventLog, StandardOutputSink } from "./observe/event_log.ts";
 import type { LineSink } from "./observe/event_log.ts";
 import { LoadReport } from "./observe/load_report.ts";
 import { GatewayMetrics } from "./observe/metrics.ts";
-import { Granter } from "./peers/granter.ts";
+import { GrantClient } from "./peers/grant_client.ts";
 import { Peers } from "./peers/peers.ts";
 import type { PeerMessage } from "./peers/messages.ts";
 import type { PeerStanding } from "./peers/peer_link.ts";
 import { StateSharing } from "./peers/state_sharing.ts";
 import { randomSource } from "./random.ts";
-import { Closing } from "./request/closing.ts";
-import { RequestDesk } from "./request/request_desk.ts";
-import { retryBudgets } from "./request/retry_budgets.ts";
+import { DrainAdmission } from "./request/drain_admission.ts";
+import { RequestHandler } from "./request/request_handler.ts";
+import { createRetryBudgets } from "./request/retry_budgets.ts";
 import { leewayOf } from "./settings.ts";
 import type { GatewaySettings } from "./settings.ts";
 import { settingsAfterReload } from "./settings_reload.ts";
@@ -51,7 +51,7 @@
   settings: GatewaySettings;
   store: MetadataStore;
   codec: RecordCodec;
-  names: HeaderNames;
+  headerNames: HeaderNames;
   /** Where log lines go; standard output if absent. */
   sink?: LineSink;
 };
@@ -76,25 +76,25 @@
   readonly #metrics = new GatewayMetrics();
   readonly #contact: StoreContact;
   readonly #state: FleetState;
-  readonly #pool: ChannelPool;
-  readonly #granter: Granter;
+  readonly #pool: ConnectionPool;
+  readonly #granter: GrantClient;
   readonly #peers: Peers;
   readonly #sharing: StateSharing;
   #configuration: PrefixFollower | undefined;
   readonly #membership: Membership;
   readonly #standing: FleetStanding;
-  readonly #servers: ServersInUse;
-  readonly #front: Front;
+  readonly #servers: UsableServers;
+  readonly #front: HttpFrontend;
   readonly #load: LoadReport;
-  readonly #pages: StatusPages;
-  readonly #desk: RequestDesk;
+  readonly #pages: StatusServer;
+  readonly #desk: RequestHandler;
   readonly #gate = new StartGate();
-  readonly #closing = new Closing();
+  readonly #closing = new DrainAdmission();
   readonly #stopped = new AbortController();
   readonly #timers: NodeJS.Timeout[] = [];
 
   constructor(parts: GatewayParts) {
-    const { settings, store, codec, names } = parts;
+    const { settings, store, codec, headerNames: names } = parts;
     this.#settings = settings;
     this.#store = store;
     this.#codec = codec;
@@ -104,7 +104,7 @@
     const random = randomSource();
     this.#log = new EventLog({
       instance,
-      sink: parts.sink ?? new OutputSink(),
+      sink: parts.sink ?? new StandardOutputSink(),
       clock,
     });
     const log = this.#log;
@@ -116,8 +116,8 @@
       contact: this.#contact,
       changed: (what) => this.#changed(what),
     });
-    this.#pool = new ChannelPool(clock);
-    this.#granter = new Granter({
+    this.#pool = new ConnectionPool(clock);
+    this.#granter = new GrantClient({
       instance,
       incarnation,
       clock,
@@ -157,42 +157,42 @@
       membership: this.#membership,
       clock,
     });
-    this.#servers = new ServersInUse(this.#state.directory);
-    this.#desk = new RequestDesk({
-      reader: new CallReader(names),
+    this.#servers = new UsableServers(this.#state.directory);
+    this.#desk = new RequestHandler({
+      parser: new RequestParser(names),
       context: {
-        names,
+        headerNames: names,
         dataCentre: settings.dataCentre,
         clock,
         random,
         log,
         metrics: this.#metrics,
-        granter: this.#granter,
-        pool: this.#pool,
+        grantClient: this.#granter,
+        connectionPool: this.#pool,
         ready: this.#gate.opened,
-        closing: this.#closing,
-        inForce: () => this.#state.inForce,
-        current: () => this.#sharing.configurationIsNewest(),
-        server: (name) => this.#servers.find(name),
-        takeResend: retryBudgets(
+        drainAdmission: this.#closing,
+        activeConfiguration: () => this.#state.inForce,
+        isConfigurationCurrent: () => this.#sharing.configurationIsNewest(),
+        findServer: (name) => this.#servers.find(name),
+        consumeRetry: createRetryBudgets(
           () => this.#settings.bounds,
           () => this.#standing.shares(),
         ),
       },
     });
-    this.#front = new Front((request, response) =>
+    this.#front = new HttpFrontend((request, response) =>
       this.#serve(request, response)
     );
     this.#load = new LoadReport({
-      granter: this.#granter,
+      grantClient: this.#granter,
       log,
       metrics: this.#metrics,
-      shares: () => this.#standing.shares(),
+      totalShares: () => this.#standing.shares(),
     });
-    this.#pages = new StatusPages({
+    this.#pages = new StatusServer({
       metrics: this.#metrics,
-      ready: () => this.#ready(),
-      refresh: () => this.#load.refresh(),
+      isReady: () => this.#ready(),
+      updateGauges: () => this.#load.updateGauges(),
     });
   }
 
@@ -223,7 +223,7 @@
     this.#every(PUMP_EVERY, () => this.#granter.pump());
     this.#every(
       SWEEP_EVERY,
-      () => this.#pool.sweep(this.#servers.all()),
+      () => this.#pool.closeStale(this.#servers.all()),
     );
     this.#every(LOAD_EVERY, () => this.#load.log());
     this.#lifecycle.apply("started");
@@ -259,7 +259,7 @@
     const gracePeriod = this.#settings.bounds.gracePeriodSeconds * 1000;
     this.#log.write({
       event: "stopping",
-      active: this.#desk.active,
+      active: this.#desk.activeRequests,
       grace: gracePeriod,
     });
     const stop = new GracefulStop({
@@ -270,12 +270,12 @@
       clock: this.#clock,
       gracePeriod,
     });
-    this.#front.startClosing();
+    this.#front.startDraining();
     this.#standing.regroup();
     this.#peers.announce();
     void this.#membership.leave();
     await stop.finish();
-    this.#log.write({ event: "stopped", cut: this.#desk.active });
+    this.#log.write({ event: "stopped", cut: this.#desk.activeRequests });
     this.#close();
   }
 
@@ -283,7 +283,7 @@
     if (this.#granter.received(peer, message)) return;
     if (message.type === "members") this.#state.told(message.members);
     if (message.type === "heartbeat" && message.leaving) {
-      this.#state.roll.leaves(peer);
+      this.#state.roll.markLeaving(peer);
     }
     this.#sharing.received(peer, message);
   }
@@ -291,12 +291,15 @@
   lost(peer: string): void {
     this.#granter.lost(peer);
     this.#sharing.lost(peer);
-    this.#metrics.dependencies.inc({ dependency: "peer", change: "lost" });
+    this.#metrics.dependencyChanges.inc({ dependency: "peer", change: "lost" });
     this.#standing.regroup();
   }
 
   joined(peer: string): void {
-    this.#metrics.dependencies.inc({ dependency: "peer", change: "regained" });
+    this.#metrics.dependencyChanges.inc({
+      dependency: "peer",
+      change: "regained",
+    });
     this.#sendMembers(peer);
     this.#granter.joined(peer);
     this.#standing.regroup();
@@ -325,7 +328,7 @@
   }
 
   #serve(request: IncomingMessage, response: ServerResponse): void {
-    void this.#desk.serve(request, response);
+    void this.#desk.handle(request, response);
   }
 
   #ready(): boolean {
@@ -342,7 +345,7 @@
     if (this.#informed()) this.#gate.open();
     if (what === "configuration") {
       const inForce = this.#state.inForce!;
-      this.#front.limit(inForce.configuration.limits);
+      this.#front.applyLimits(inForce.configuration.limits);
       this.#granter.setQuotas(inForce.quotas);
       this.#metrics.configurationVersion.set(inForce.configuration.version);
       this.#configuration?.reached(this.#state.published.revision);
@@ -377,7 +380,7 @@
     for (const timer of this.#timers) clearInterval(timer);
     this.#peers.close();
     this.#pages.close();
-    this.#front.cut();
+    this.#front.closeAllConnections();
     this.#pool.close();
   }
 }
--- a/packages/gateway/src/graceful_stop.ts
+++ b/packages/gateway/src/graceful_stop.ts
@@ -4,10 +4,10 @@
  * @module
  */
 import { setTimeout as sleep } from "node:timers/promises";
-import type { Front } from "./front/front.ts";
+import type { HttpFrontend } from "./front/http_frontend.ts";
 import type { Peers } from "./peers/peers.ts";
-import type { Closing } from "./request/closing.ts";
-import type { RequestDesk } from "./request/request_desk.ts";
+import type { DrainAdmission } from "./request/drain_admission.ts";
+import type { RequestHandler } from "./request/request_handler.ts";
 
 /**
  * Milliseconds for which everything is still taken after a request to stop: the
@@ -32,10 +32,10 @@
 
 /** One stop; it begins as it is constructed. */
 export class GracefulStop {
-  readonly #front: Front;
-  readonly #desk: RequestDesk;
+  readonly #front: HttpFrontend;
+  readonly #desk: RequestHandler;
   readonly #peers: Peers;
-  readonly #closing: Closing;
+  readonly #closing: DrainAdmission;
   readonly #clock: () => number;
   readonly #allTakenUntil: number;
   readonly #endAt: number;
@@ -45,10 +45,10 @@
   #usedAt: number;
 
   constructor(options: {
-    front: Front;
-    desk: RequestDesk;
+    front: HttpFrontend;
+    desk: RequestHandler;
     peers: Peers;
-    closing: Closing;
+    closing: DrainAdmission;
     clock: () => number;
     /** Milliseconds until the process is killed. */
     gracePeriod: number;
@@ -71,9 +71,9 @@
   async finish(): Promise<void> {
     while (this.#needed(this.#clock())) await sleep(LOOK_EVERY);
     this.#front.stopListening();
-    while (this.#desk.active > 0 && this.#clock() < this.#endAt) {
+    while (this.#desk.activeRequests > 0 && this.#clock() < this.#endAt) {
       await sleep(LOOK_EVERY);
-      this.#front.closeIdle();
+      this.#front.closeIdleConnections();
     }
   }
 
@@ -85,9 +85,9 @@
   #needed(now: number): boolean {
     if (!this.#peers.anyStaying()) this.#othersSince = Infinity;
     else this.#othersSince = Math.min(this.#othersSince, now);
-    if (this.#desk.active > 0) this.#usedAt = now;
+    if (this.#desk.activeRequests > 0) this.#usedAt = now;
     if (now < this.#allTakenUntil) return true;
-    this.#closing.begin(this.#endAt);
+    this.#closing.start(this.#endAt);
     if (now >= this.#endAt - CLOSE_BEFORE) return false;
     const idle = this.#usedAt < now;
     const replaced = now - this.#othersSince >= TAKEN_UP_AFTER;
--- a/packages/gateway/src/mod.ts
+++ b/packages/gateway/src/mod.ts
@@ -1,5 +1,5 @@
 /** An entry that sends to backend servers itself. @module */
-export { EventLog, LineSink, OutputSink } from "./observe/event_log.ts";
+export { EventLog, LineSink, StandardOutputSink } from "./observe/event_log.ts";
 export type { LogEvent } from "./observe/events.ts";
 export type { HeaderNames } from "./front/header_names.ts";
 export { Gateway } from "./gateway.ts";
@@ -7,7 +7,7 @@
 export { gatewaySettingsSchema } from "./settings.ts";
 export type { Address, GatewaySettings } from "./settings.ts";
 export type {
-  FrontLimits,
+  CallerLimits,
   GatewayConfiguration,
   Organisation,
   ServiceLimits,
--- a/packages/gateway/src/observe/event_log.ts
+++ b/packages/gateway/src/observe/event_log.ts
@@ -24,7 +24,7 @@
 }
 
 /** Standard output, one asynchronous write at a time. */
-export class OutputSink extends LineSink {
+export class StandardOutputSink extends LineSink {
   #waiting: string[] = [];
   #bytes = 0;
   #writing = false;
--- a/packages/gateway/src/observe/load_report.ts
+++ b/packages/gateway/src/observe/load_report.ts
@@ -1,32 +1,32 @@
 /** How full services are and which limits their servers state. @module */
-import type { Granter } from "../peers/granter.ts";
+import type { GrantClient } from "../peers/grant_client.ts";
 import type { EventLog } from "./event_log.ts";
 import type { GatewayMetrics } from "./metrics.ts";
 
 /** Logged each second and shown as gauges. */
 export class LoadReport {
-  readonly #granter: Granter;
+  readonly #granter: GrantClient;
   readonly #log: EventLog;
   readonly #metrics: GatewayMetrics;
   readonly #shares: () => number;
 
   constructor(
     options: {
-      granter: Granter;
+      grantClient: GrantClient;
       log: EventLog;
       metrics: GatewayMetrics;
       /** Shares that all entries have together. */
-      shares: () => number;
+      totalShares: () => number;
     },
   ) {
-    this.#granter = options.granter;
+    this.#granter = options.grantClient;
     this.#log = options.log;
     this.#metrics = options.metrics;
-    this.#shares = options.shares;
+    this.#shares = options.totalShares;
   }
 
   log(): void {
-    const { parts } = this.#granter;
+    const { fractions: parts } = this.#granter;
     const fleet = Math.round(this.#shares() * 10) / 10;
     for (const load of this.#granter.loads()) {
       this.#log.write({ event: "load", ...load, ...parts, fleet });
@@ -34,7 +34,7 @@
   }
 
   /** Brings the gauges up to date. */
-  refresh(): void {
+  updateGauges(): void {
     const { waiting, running } = this.#metrics;
     for (const load of this.#granter.loads()) {
       const { service } = load;
@@ -44,7 +44,7 @@
     const { serverLimit, serverLimitAge } = this.#metrics;
     serverLimit.reset();
     serverLimitAge.reset();
-    for (const { server, limit, age } of this.#granter.limits.ages()) {
+    for (const { server, limit, age } of this.#granter.limits.withAges()) {
       serverLimit.set({ server, by: limit.by }, limit.perSecond);
       serverLimitAge.set({ server }, age / 1000);
     }
--- a/packages/gateway/src/observe/metrics.ts
+++ b/packages/gateway/src/observe/metrics.ts
@@ -29,7 +29,7 @@
     "Requests that ended without a whole answer",
     ["service", "reason"],
   );
-  readonly dependencies = this.#counter(
+  readonly dependencyChanges = this.#counter(
     "dependency_changes_total",
     "Dependencies lost and regained",
     ["dependency", "change"],
--- a/packages/gateway/src/peers/ask_message.ts
+++ b/packages/gateway/src/peers/ask_message.ts
@@ -3,11 +3,15 @@
  * not compared.
  * @module
  */
-import type { Ask } from "@sycamorepulley/decisions";
+import type { GrantRequest } from "@sycamorepulley/decisions";
 import type { AskMessage } from "./messages.ts";
 
 /** `runsAt`: the server that another entry granted already. */
-export function messageOf(ask: Ask, now: number, runsAt?: string): AskMessage {
+export function messageOf(
+  ask: GrantRequest,
+  now: number,
+  runsAt?: string,
+): AskMessage {
   return {
     type: "ask",
     id: ask.id,
@@ -20,18 +24,22 @@
     outputTokens: ask.cost.outputTokens,
     charge: ask.charge,
     age: now - ask.arrived,
-    goalIn: ask.goalAt - now,
-    lapsesIn: ask.lapsesAt - now,
-    endsIn: ask.endsAt - now,
+    goalIn: ask.latencyGoalAt - now,
+    lapsesIn: ask.expiresAt - now,
+    endsIn: ask.deadline - now,
     fingerprint: ask.fingerprint,
-    spread: ask.spread,
-    avoid: [...ask.avoid],
+    spread: ask.jitter,
+    avoid: [...ask.excludedServers],
     ...(runsAt === undefined ? {} : { runsAt }),
   };
 }
 
 /** The ask of a message that `entry` sent. */
-export function askOf(message: AskMessage, entry: string, now: number): Ask {
+export function askOf(
+  message: AskMessage,
+  entry: string,
+  now: number,
+): GrantRequest {
   return {
     id: message.id,
     entry,
@@ -46,11 +54,11 @@
     },
     charge: message.charge,
     arrived: now - message.age,
-    goalAt: now + message.goalIn,
-    lapsesAt: now + message.lapsesIn,
-    endsAt: now + message.endsIn,
+    latencyGoalAt: now + message.goalIn,
+    expiresAt: now + message.lapsesIn,
+    deadline: now + message.endsIn,
     fingerprint: message.fingerprint,
-    spread: message.spread,
-    avoid: message.avoid,
+    jitter: message.spread,
+    excludedServers: message.avoid,
   };
 }
--- a/packages/gateway/src/peers/granter.ts
+++ b/packages/gateway/src/peers/grant_client.ts
@@ -3,30 +3,30 @@
  * grants for the group, which may be this one.
  * @module
  */
-import { grantingEntry, groupParts } from "@sycamorepulley/decisions";
+import { groupFractions, selectGrantingEntry } from "@sycamorepulley/decisions";
 import type {
-  AnswerPace,
-  Ask,
-  GroupParts,
+  GrantRequest,
+  GroupFractions,
   Quota,
   QuotaLeeway,
-  RunEnd,
+  RunOutcome,
   ServerRecord,
   ServiceLoad,
+  StreamTiming,
 } from "@sycamorepulley/decisions";
 import type { EventLog } from "../observe/event_log.ts";
 import { messageOf } from "./ask_message.ts";
 import { Granting } from "./granting.ts";
-import { HeldAsk } from "./held_ask.ts";
-import type { GrantAnswer } from "./held_ask.ts";
+import { HeldAsk } from "./pending_grant.ts";
+import type { GrantResult } from "./pending_grant.ts";
 import type { PeerMessage } from "./messages.ts";
 import type { PeerEntry, Peers } from "./peers.ts";
 import { SharedServerLimits } from "./shared_server_limits.ts";
 
-const NO_ANSWER: AnswerPace = { tokens: 0, measured: 0, pausePart: 0 };
+const NO_ANSWER: StreamTiming = { tokens: 0, measured: 0, pausePart: 0 };
 
 /** What is asked for one request, with times of this entry's clock. */
-export type GrantRequest = Omit<Ask, "id" | "entry">;
+export type GrantRequestOptions = Omit<GrantRequest, "id" | "entry">;
 
 /** The fleet as this entry sees it. */
 export type FleetView = {
@@ -39,10 +39,10 @@
 };
 
 /** An ask under way. */
-export type AskHandle = { id: string; answer: Promise<GrantAnswer> };
+export type AskHandle = { id: string; result: Promise<GrantResult> };
 
 /** See the module. */
-export class Granter {
+export class GrantClient {
   readonly #instance: string;
   readonly #incarnation: string;
   readonly #clock: () => number;
@@ -73,7 +73,7 @@
     this.#granting = options.instance;
     this.limits = new SharedServerLimits({
       ...options,
-      tell: (message) => {
+      send: (message) => {
         if (!this.#grantsItself) this.#tell(message);
       },
     });
@@ -85,7 +85,7 @@
   }
 
   /** See {@link Granting.parts}. */
-  get parts(): GroupParts {
+  get fractions(): GroupFractions {
     return this.#own.parts;
   }
 
@@ -124,14 +124,14 @@
     const able = staying.length > 0 ? staying : entries;
     // The successor may have failed together with the previous granting entry.
     const responsive = able.filter((entry) => !entry.probePending);
-    const granting = grantingEntry(responsive) ?? this.#instance;
+    const granting = selectGrantingEntry(responsive) ?? this.#instance;
     const present = entries.map(({ name, listed, asks }) => {
       const asked = name === this.#instance ? granting : asks;
-      return { name, listed, asks: asked === this.#instance };
+      return { name, listed, asksThisEntry: asked === this.#instance };
     });
-    this.#own.setParts(groupParts({ present, shares, stated }));
+    this.#own.setParts(groupFractions({ present, shares, stated }));
     if (granting === this.#granting) return;
-    const { room, quota } = this.parts;
+    const { room, quota } = this.fractions;
     this.#log.write({
       event: "group_changed",
       granting,
@@ -143,18 +143,18 @@
   }
 
   /** Asks for a server. The ask lives until `withdraw` or `ended`. */
-  ask(request: GrantRequest): AskHandle {
+  submit(request: GrantRequestOptions): AskHandle {
     const id = `${this.#incarnation}.${++this.#number}`;
-    const ask: Ask = {
+    const ask: GrantRequest = {
       ...request,
       id,
       entry: this.#instance,
     };
-    const answer = new Promise<GrantAnswer>((resolve) => {
+    const answer = new Promise<GrantResult>((resolve) => {
       this.#held.set(id, new HeldAsk(ask, resolve));
     });
     this.#place(ask);
-    return { id, answer };
+    return { id, result: answer };
   }
 
   /** The request does not run: it no longer waits, or its grant goes unused. */
@@ -166,14 +166,14 @@
     else this.#tell({ type: "withdraw", id });
   }
 
-  firstAnswer(id: string, measured: number): void {
+  recordResponseStart(id: string, measured: number): void {
     if (!this.#held.has(id)) return;
     if (this.#grantsItself) this.#own.firstAnswer(id, measured);
     else this.#tell({ type: "first_answer", id, measured });
   }
 
   /** `pace`: how the answer came after its first token, if it did. */
-  ended(id: string, end: RunEnd, pace: AnswerPace = NO_ANSWER): void {
+  recordEnd(id: string, end: RunOutcome, pace: StreamTiming = NO_ANSWER): void {
     if (!this.#held.delete(id)) return;
     if (this.#grantsItself) this.#own.ended(id, end, pace);
     else this.#tell({ type: "ended", id, end, ...pace });
@@ -235,7 +235,7 @@
     this.#peers().send(this.#granting, message);
   }
 
-  #place(ask: Ask): void {
+  #place(ask: GrantRequest): void {
     if (this.#grantsItself) this.#own.ask(ask);
     else this.#tell(messageOf(ask, this.#clock()));
   }
@@ -258,7 +258,7 @@
     this.pump();
   }
 
-  #answered(id: string, answer: GrantAnswer): void {
+  #answered(id: string, answer: GrantResult): void {
     const held = this.#held.get(id);
     if (held === undefined || held.server !== undefined) {
       // It was withdrawn meanwhile, or another entry granted it before.
--- a/packages/gateway/src/peers/granting.ts
+++ b/packages/gateway/src/peers/granting.ts
@@ -5,20 +5,20 @@
  * one anew for what waits and tells it what runs; nothing of it is stored.
  * @module
  */
-import { Desk } from "@sycamorepulley/decisions";
+import { GroupScheduler } from "@sycamorepulley/decisions";
 import type {
-  AnswerPace,
-  Ask,
-  AskVerdict,
-  GroupParts,
+  GrantDecision,
+  GrantRequest,
+  GroupFractions,
   Quota,
   QuotaLeeway,
-  RunEnd,
+  RunOutcome,
   ServerRecord,
   ServiceLoad,
+  StreamTiming,
 } from "@sycamorepulley/decisions";
 import { askOf } from "./ask_message.ts";
-import type { GrantAnswer } from "./held_ask.ts";
+import type { GrantResult } from "./pending_grant.ts";
 import type { AskMessage, PeerMessage } from "./messages.ts";
 import type { Peers } from "./peers.ts";
 import type { SharedServerLimits } from "./shared_server_limits.ts";
@@ -28,12 +28,12 @@
   readonly #instance: string;
   readonly #clock: () => number;
   readonly #peers: () => Peers;
-  readonly #answered: (id: string, answer: GrantAnswer) => void;
-  readonly #desk: Desk;
+  readonly #answered: (id: string, answer: GrantResult) => void;
+  readonly #desk: GroupScheduler;
   readonly #limits: SharedServerLimits;
   /** Asks of other entries that wait or run here. */
-  readonly #foreign = new Map<string, Ask>();
-  #parts: GroupParts = { room: 1, quota: 1 };
+  readonly #foreign = new Map<string, GrantRequest>();
+  #parts: GroupFractions = { room: 1, quota: 1 };
   #quotas: ReadonlyMap<string, Quota> = new Map();
   /** A pump is due at the end of this turn. */
   #pumping = false;
@@ -46,7 +46,7 @@
       leeway: QuotaLeeway;
       limits: SharedServerLimits;
       /** Takes the answer to an ask of this entry. */
-      answered: (id: string, answer: GrantAnswer) => void;
+      answered: (id: string, answer: GrantResult) => void;
     },
   ) {
     this.#instance = options.instance;
@@ -54,11 +54,11 @@
     this.#peers = options.peers;
     this.#answered = options.answered;
     this.#limits = options.limits;
-    this.#desk = new Desk(options.leeway, options.limits.known);
+    this.#desk = new GroupScheduler(options.leeway, options.limits.known);
   }
 
   /** The parts of all room and quotas that are granted from here. */
-  get parts(): GroupParts {
+  get parts(): GroupFractions {
     return this.#parts;
   }
 
@@ -74,7 +74,7 @@
 
   setQuotas(quotas: ReadonlyMap<string, Quota>): void {
     this.#quotas = quotas;
-    this.#desk.setShares(quotas, this.#parts, this.#clock());
+    this.#desk.setQuotas(quotas, this.#parts, this.#clock());
   }
 
   setLeeway(leeway: QuotaLeeway): void {
@@ -82,47 +82,47 @@
     this.setQuotas(this.#quotas);
   }
 
-  setParts(parts: GroupParts): void {
+  setParts(parts: GroupFractions): void {
     const { room, quota } = this.#parts;
     if (parts.room === room && parts.quota === quota) return;
     this.#parts = parts;
-    this.#desk.setShares(this.#quotas, parts, this.#clock());
+    this.#desk.setQuotas(this.#quotas, parts, this.#clock());
     this.#pumpSoon();
   }
 
-  ask(ask: Ask): void {
-    const verdict = this.#desk.ask(ask, this.#clock());
+  ask(ask: GrantRequest): void {
+    const verdict = this.#desk.submit(ask, this.#clock());
     if (verdict !== undefined) this.#deliver(verdict);
     this.#pumpSoon();
   }
 
-  /** See {@link Desk.withdraw}. */
-  withdraw(ask: Ask): void {
+  /** See {@link GroupScheduler.withdraw}. */
+  withdraw(ask: GrantRequest): void {
     this.#desk.withdraw(ask);
     this.#pumpSoon();
   }
 
-  /** See {@link Desk.release}. */
-  release(ask: Ask): void {
+  /** See {@link GroupScheduler.release}. */
+  release(ask: GrantRequest): void {
     this.#desk.release(ask);
     this.#pumpSoon();
   }
 
   /** Counts a run that another entry granted before. */
-  adopt(ask: Ask, server: string): void {
+  adopt(ask: GrantRequest, server: string): void {
     this.#desk.adopt(ask, server);
     this.#pumpSoon();
   }
 
   firstAnswer(id: string, measured: number): void {
-    this.#desk.firstAnswer(id, measured, this.#clock());
+    this.#desk.recordResponseStart(id, measured, this.#clock());
     this.#pumpSoon();
   }
 
-  ended(id: string, end: RunEnd, pace: AnswerPace): void {
+  ended(id: string, end: RunOutcome, pace: StreamTiming): void {
     const now = this.#clock();
-    this.#desk.restAnswered(id, pace, now);
-    this.#desk.ended(id, end, now);
+    this.#desk.recordStreamTiming(id, pace, now);
+    this.#desk.recordEnd(id, end, now);
     this.#pumpSoon();
   }
 
@@ -155,13 +155,13 @@
     for (const [id, ask] of this.#foreign) {
       if (ask.entry === peer) this.#foreign.delete(id);
     }
-    this.#desk.forgetEntry(peer);
+    this.#desk.removeEntry(peer);
     this.#pumpSoon();
   }
 
   /** Hands out all that can be decided now. */
   pump(): void {
-    for (const verdict of this.#desk.verdicts(this.#clock())) {
+    for (const verdict of this.#desk.decide(this.#clock())) {
       this.#deliver(verdict);
     }
   }
@@ -183,14 +183,14 @@
     else this.adopt(ask, message.runsAt);
   }
 
-  #takeBack(id: string, how: (ask: Ask) => void): void {
+  #takeBack(id: string, how: (ask: GrantRequest) => void): void {
     const ask = this.#foreign.get(id);
     this.#foreign.delete(id);
     if (ask !== undefined) how(ask);
   }
 
-  #deliver(verdict: AskVerdict): void {
-    const { ask } = verdict;
+  #deliver(verdict: GrantDecision): void {
+    const { request: ask } = verdict;
     if (ask.entry === this.#instance) {
       this.#answered(ask.id, ownAnswer(verdict, this.#instance));
       return;
@@ -203,7 +203,7 @@
       return;
     }
     this.#foreign.delete(ask.id);
-    const { reason, retryAfter, seen } = verdict;
+    const { reason, retryAfter, inputs: seen } = verdict;
     this.#peers().send(ask.entry, {
       type: "refuse",
       id: ask.id,
@@ -214,10 +214,10 @@
   }
 }
 
-function ownAnswer(verdict: AskVerdict, by: string): GrantAnswer {
+function ownAnswer(verdict: GrantDecision, by: string): GrantResult {
   if (verdict.kind === "grant") {
     return { kind: "grant", server: verdict.server, by };
   }
-  const { reason, retryAfter, seen } = verdict;
-  return { kind: "refuse", reason, retryAfter, seen, by };
+  const { reason, retryAfter, inputs: inputs } = verdict;
+  return { kind: "refuse", reason, retryAfter, seen: inputs, by };
 }
--- a/packages/gateway/src/peers/peers.ts
+++ b/packages/gateway/src/peers/peers.ts
@@ -5,7 +5,7 @@
 import { connect, createServer } from "node:net";
 import type { Server, Socket } from "node:net";
 import { SILENT_AFTER } from "@sycamorepulley/decisions";
-import type { AbleEntry, WatchGroup } from "@sycamorepulley/decisions";
+import type { GrantCandidate, WatchGroup } from "@sycamorepulley/decisions";
 import type { EventLog } from "../observe/event_log.ts";
 import { listen } from "../listen.ts";
 import type { Address } from "../settings.ts";
@@ -20,7 +20,7 @@
 const DIAL_TIMEOUT = 500;
 
 /** Another entry, as a group counts it. */
-export type PeerEntry = AbleEntry & {
+export type PeerEntry = GrantCandidate & {
   leaving: boolean;
   listed: boolean;
   /** The entry that it asks for servers; none before it has said so. */
--- a/packages/gateway/src/peers/held_ask.ts
+++ b/packages/gateway/src/peers/pending_grant.ts
@@ -1,12 +1,16 @@
 /** An ask of this entry, and the answer that its request waits for. @module */
-import type { Ask, AskRefusal, RefusalInputs } from "@sycamorepulley/decisions";
+import type {
+  GrantRefusalReason,
+  GrantRequest,
+  RefusalInputs,
+} from "@sycamorepulley/decisions";
 
 /** What a request is told; `by` is the entry that decided. */
-export type GrantAnswer =
+export type GrantResult =
   | { kind: "grant"; server: string; by: string }
   | {
     kind: "refuse";
-    reason: AskRefusal;
+    reason: GrantRefusalReason;
     retryAfter: number;
     seen: RefusalInputs;
     by: string;
@@ -14,12 +18,12 @@
 
 /** An ask until its request has ended. */
 export class HeldAsk {
-  readonly ask: Ask;
-  readonly resolve: (answer: GrantAnswer) => void;
+  readonly ask: GrantRequest;
+  readonly resolve: (answer: GrantResult) => void;
   server: string | undefined;
   by = "";
 
-  constructor(ask: Ask, resolve: (answer: GrantAnswer) => void) {
+  constructor(ask: GrantRequest, resolve: (answer: GrantResult) => void) {
     this.ask = ask;
     this.resolve = resolve;
   }
--- a/packages/gateway/src/peers/shared_server_limits.ts
+++ b/packages/gateway/src/peers/shared_server_limits.ts
@@ -7,7 +7,7 @@
  * was made under, so that all can tell the next granting entry.
  * @module
  */
-import { ServerLimits, statedLimit } from "@sycamorepulley/decisions";
+import { parseServerLimit, ServerLimits } from "@sycamorepulley/decisions";
 import type { LimitObservation, ServerLimit } from "@sycamorepulley/decisions";
 import type { EventLog } from "../observe/event_log.ts";
 import type { LimitObservationMessage, PeerMessage } from "./messages.ts";
@@ -27,22 +27,22 @@
       clock: () => number;
       log: EventLog;
       /** Sends to the entry that grants, unless it is this one. */
-      tell: (message: PeerMessage) => void;
+      send: (message: PeerMessage) => void;
     },
   ) {
     this.#instance = options.instance;
     this.#clock = options.clock;
     this.#log = options.log;
-    this.#tell = options.tell;
+    this.#tell = options.send;
   }
 
   /** Takes the header's value of an answer to a request sent at `sentAt`. */
-  heard(
+  observe(
     server: string,
     value: string | string[] | undefined,
     sentAt: number,
   ): void {
-    const stated = statedLimit(value);
+    const stated = parseServerLimit(value);
     if (stated.isErr) {
       this.#log.write({
         event: "server_limit_unreadable",
@@ -52,8 +52,12 @@
       return;
     }
     const perSecond = stated.value;
-    const heardAt = perSecond === undefined ? sentAt : this.#clock();
-    const observation = { perSecond, by: this.#instance, heardAt };
+    const observedAt = perSecond === undefined ? sentAt : this.#clock();
+    const observation = {
+      perSecond,
+      by: this.#instance,
+      observedAt: observedAt,
+    };
     if (this.#learn(server, observation)) {
       this.#tell(this.#messageOf(server, observation));
     }
@@ -61,8 +65,8 @@
 
   /** Takes the limit of a grant, or what a peer observed. */
   told(server: string, { age, perSecond, by }: LimitObservationMessage): void {
-    const heardAt = this.#clock() - Math.max(0, age);
-    this.#learn(server, { perSecond, by, heardAt });
+    const observedAt = this.#clock() - Math.max(0, age);
+    this.#learn(server, { perSecond, by, observedAt: observedAt });
   }
 
   /** The limit in force of a server, to send along with a grant. */
@@ -73,25 +77,25 @@
 
   /** Tells the entry that grants all limits in force. */
   tellAll(): void {
-    for (const [server, limit] of this.known.inForce()) {
+    for (const [server, limit] of this.known.activeLimits()) {
       this.#tell(this.#messageOf(server, limit));
     }
   }
 
   /** Limits in force with the milliseconds since they were heard. */
-  *ages(): Generator<{ server: string; limit: ServerLimit; age: number }> {
+  *withAges(): Generator<{ server: string; limit: ServerLimit; age: number }> {
     const now = this.#clock();
-    for (const [server, limit] of this.known.inForce()) {
-      yield { server, limit, age: now - limit.heardAt };
+    for (const [server, limit] of this.known.activeLimits()) {
+      yield { server, limit, age: now - limit.observedAt };
     }
   }
 
   /** True for news, or a limit that is heard again. */
   #learn(server: string, observation: LimitObservation): boolean {
-    const change = this.known.learn(server, observation);
+    const change = this.known.observe(server, observation);
     if (change === "changed") {
       const { by, perSecond } = observation;
-      const age = Math.round(this.#clock() - observation.heardAt);
+      const age = Math.round(this.#clock() - observation.observedAt);
       this.#log.write(
         perSecond === undefined
           ? { event: "server_limit_ended", server, by, age }
@@ -110,7 +114,7 @@
   }
 
   #observationMessage(
-    { perSecond, by, heardAt }: LimitObservation,
+    { perSecond, by, observedAt: heardAt }: LimitObservation,
   ): LimitObservationMessage {
     const age = this.#clock() - heardAt;
     return perSecond === undefined ? { by, age } : { perSecond, by, age };
--- a/packages/gateway/src/peers/state_sharing.ts
+++ b/packages/gateway/src/peers/state_sharing.ts
@@ -87,7 +87,7 @@
   }
 
   lost(peer: string): void {
-    for (const { pull } of Object.values(this.#shared)) pull.lost(peer);
+    for (const { pull } of Object.values(this.#shared)) pull.removePeer(peer);
   }
 
   /** Looks whether a peer is to be asked for what it has. */
@@ -98,15 +98,15 @@
 
   #offered(peer: string, standing: PeerStanding): void {
     const { configuration, servers } = this.#shared;
-    configuration.pull.offered(peer, standing.configurationRevision);
-    servers.pull.offered(peer, standing.serverRevision);
+    configuration.pull.recordOffer(peer, standing.configurationRevision);
+    servers.pull.recordOffer(peer, standing.serverRevision);
     this.tick();
   }
 
   #look(state: StateName): void {
     const { pull } = this.#shared[state];
     const known = this.#revision(state);
-    const request = pull.next(known, this.#clock(), this.#random());
+    const request = pull.nextRequest(known, this.#clock(), this.#random());
     if (request !== undefined) this.#ask(state, request);
   }
 
@@ -152,13 +152,13 @@
   async #take(peer: string, message: PartMessage): Promise<void> {
     const { state } = message;
     const { pull } = this.#shared[state];
-    const step = pull.received(peer, message, this.#clock());
+    const step = pull.receivePart(peer, message, this.#clock());
     if (step.kind === "ask") this.#ask(state, step.request);
     if (step.kind !== "whole") return;
     const { revision } = step;
     const text = await textOf(step.parts);
     if (text.isErr) {
-      pull.failed(peer);
+      pull.markCorrupted(peer);
       this.#unreadable(state, { from: peer, revision, detail: text.error });
       return;
     }
@@ -166,7 +166,7 @@
     const used = state === "configuration"
       ? this.#state.adopt(value.text, revision, peer)
       : this.#adoptServers(value, peer);
-    if (!used) pull.unusable(revision);
+    if (!used) pull.markUnusable(revision);
   }
 
   /** False for records that can't be read. */
--- a/packages/gateway/src/request/answer_progress.ts
+++ b/packages/gateway/src/request/answer_progress.ts
@@ -1,8 +1,8 @@
 /** How far the answer to one request has come, over all servers tried. @module */
 
-import type { AnswerPace } from "@sycamorepulley/decisions";
+import type { StreamTiming } from "@sycamorepulley/decisions";
 
-const NOTHING: AnswerPace = { tokens: 0, measured: 0, pausePart: 0 };
+const NOTHING: StreamTiming = { tokens: 0, measured: 0, pausePart: 0 };
 
 /** Times are those of the clock that the caller passes. */
 export class AnswerProgress {
@@ -35,7 +35,7 @@
     servers: number,
     stream: { tokensPerEvent: number; acceptedPause: number | undefined },
     now: number,
-  ): AnswerPace {
+  ): StreamTiming {
     const events = Math.max(0, this.events - 1);
     if (events === 0 || servers > 1 || this.firstAt === undefined) {
       return NOTHING;
--- a/packages/gateway/src/request/backend_headers.ts
+++ b/packages/gateway/src/request/backend_headers.ts
@@ -1,31 +1,31 @@
 /** Headers that a backend server is sent, and what names a request. @module */
 import { createHash } from "node:crypto";
 import type { ServerRecord } from "@sycamorepulley/decisions";
-import type { Call } from "../front/call.ts";
+import type { Call } from "../front/parsed_request.ts";
 import type { HeaderNames } from "../front/header_names.ts";
-import type { ResolvedCall } from "./resolve_call.ts";
+import type { ResolvedRequest } from "./resolve_request.ts";
 
 /** Names and values in turn; `lastEvent`: where a resumed stream goes on. */
 export function backendHeaders(
   options: {
     names: HeaderNames;
     call: Call;
-    resolved: ResolvedCall;
+    resolved: ResolvedRequest;
     server: ServerRecord;
     lastEvent: string | undefined;
     now: number;
   },
 ): string[] {
   const { names, call, resolved, server, lastEvent, now } = options;
-  const { organisation, limitAt } = resolved;
+  const { organisation, deadline: limitAt } = resolved;
   const headers = lastEvent === undefined
     ? [...call.headers]
-    : without(call.headers, names.lastEvent);
+    : without(call.headers, names.lastEventId);
   const left = Math.max(1, Math.floor(limitAt - now));
-  headers.push(names.timeLeft, String(left));
+  headers.push(names.remainingTime, String(left));
   headers.push(names.expectedServer, server.id);
   if (organisation !== "") headers.push(names.organisation, organisation);
-  if (lastEvent !== undefined) headers.push(names.lastEvent, lastEvent);
+  if (lastEvent !== undefined) headers.push(names.lastEventId, lastEvent);
   return headers;
 }
 
--- a/packages/gateway/src/request/closing.ts
+++ b/packages/gateway/src/request/drain_admission.ts
@@ -7,8 +7,8 @@
  * told truly that it has not run.
  * @module
  */
-import { LongestStreams } from "@sycamorepulley/decisions";
-import type { ResolvedCall } from "./resolve_call.ts";
+import { StreamDurationBound } from "@sycamorepulley/decisions";
+import type { ResolvedRequest } from "./resolve_request.ts";
 
 /** Milliseconds before the process's end by which all that it takes has ended. */
 const MARGIN = 300;
@@ -16,23 +16,23 @@
 const RESTART_TIME = 1000;
 
 /** See the module; instants are those of the process's clock. */
-export class Closing {
-  readonly streams = new LongestStreams();
+export class DrainAdmission {
+  readonly streamDurations = new StreamDurationBound();
   #endAt: number | undefined;
 
   /** From now on only what ends by `endAt` is taken. */
-  begin(endAt: number): void {
+  start(endAt: number): void {
     this.#endAt = endAt;
   }
 
   /** Latest instant at which a server may be sent the request. */
-  latestStart(resolved: ResolvedCall): number {
+  latestStartTime(resolved: ResolvedRequest): number {
     if (this.#endAt === undefined) return Infinity;
     const endAt = this.#endAt - MARGIN;
-    if (resolved.limitAt <= endAt) return Infinity;
+    if (resolved.deadline <= endAt) return Infinity;
     const { cost } = resolved;
     const bounded = cost.promptTokens > 0;
-    return bounded ? endAt - this.streams.longest(cost) : -Infinity;
+    return bounded ? endAt - this.streamDurations.upperBound(cost) : -Infinity;
   }
 
   /** Milliseconds until the successor of this process takes callers. */
--- a/packages/gateway/src/request/exchange.ts
+++ b/packages/gateway/src/request/exchange.ts
@@ -181,7 +181,7 @@
   /** Why the answer can't be this request's, or not a server's own. */
   #problemOf(head: AnswerHead): string | undefined {
     const { headers, status } = head;
-    const echoed = headers[this.#names.request.toLowerCase()];
+    const echoed = headers[this.#names.requestId.toLowerCase()];
     const unrun = headers[this.#names.notRun.toLowerCase()] !== undefined ||
       status === MISDIRECTED;
     if (echoed !== undefined && echoed !== this.#request) {
--- a/packages/gateway/src/request/patience.ts
+++ b/packages/gateway/src/request/patience.ts
@@ -1,6 +1,6 @@
 /** How long a request waits: for a place, and for a server that is silent. @module */
 import type { Route } from "@sycamorepulley/decisions";
-import type { ResolvedCall } from "./resolve_call.ts";
+import type { ResolvedRequest } from "./resolve_request.ts";
 import type { SilenceLimits } from "./silence_watch.ts";
 
 /** Milliseconds that must be left for a server to be sent anything. */
@@ -31,21 +31,21 @@
 const LONGEST_WAIT_PART = 0.25;
 
 /** Instant after which a place is of no use; `from`: its caller heard something. */
-export function lapseOf(resolved: ResolvedCall, from: number): number {
-  const { route, limitAt } = resolved;
+export function lapseOf(resolved: ResolvedRequest, from: number): number {
+  const { route, deadline: limitAt } = resolved;
   const longest = from + (limitAt - from) * LONGEST_WAIT_PART;
   if (route.repeatability !== "streaming") return limitAt - LEAST_TIME_LEFT;
   const patience = Math.max(
     STREAM_PATIENCE,
-    STREAM_PATIENCE_GOALS * route.goal,
-    STREAM_PATIENCE_PAUSES * (route.longestPause ?? 0),
+    STREAM_PATIENCE_GOALS * route.latencyGoal,
+    STREAM_PATIENCE_PAUSES * (route.pauseGoal ?? 0),
   );
   return Math.min(longest, from + patience - FIRST_EVENT_RESERVE);
 }
 
 /** Silences that a request of the route waits for. */
 export function silenceLimits(route: Route): SilenceLimits {
-  const { goal, longestPause } = route;
+  const { latencyGoal: goal, pauseGoal: longestPause } = route;
   return {
     first: Math.max(LEAST_SILENCE, SILENT_GOALS * goal),
     between: Math.max(LEAST_SILENCE, SILENT_PAUSES * (longestPause ?? goal)),
--- a/packages/gateway/src/request/request_context.ts
+++ b/packages/gateway/src/request/request_context.ts
@@ -1,31 +1,31 @@
 /** What every request task works with. @module */
 import type { ServerRecord } from "@sycamorepulley/decisions";
-import type { ChannelPool } from "../backend/channel_pool.ts";
+import type { ConnectionPool } from "../backend/connection_pool.ts";
 import type { HeaderNames } from "../front/header_names.ts";
 import type { EventLog } from "../observe/event_log.ts";
 import type { GatewayMetrics } from "../observe/metrics.ts";
-import type { Granter } from "../peers/granter.ts";
-import type { ConfigurationInForce } from "../state/gateway_configuration.ts";
-import type { Closing } from "./closing.ts";
-import type { TakeResend } from "./retry_budgets.ts";
+import type { GrantClient } from "../peers/grant_client.ts";
+import type { ActiveConfiguration } from "../state/gateway_configuration.ts";
+import type { DrainAdmission } from "./drain_admission.ts";
+import type { ConsumeRetry } from "./retry_budgets.ts";
 
 /** Shared by all requests of one process. */
 export type RequestContext = {
-  names: HeaderNames;
+  headerNames: HeaderNames;
   dataCentre: string;
   clock: () => number;
   random: () => number;
   log: EventLog;
   metrics: GatewayMetrics;
-  granter: Granter;
-  pool: ChannelPool;
+  grantClient: GrantClient;
+  connectionPool: ConnectionPool;
   /** Resolves when requests may be resolved: at once but at a start. */
   ready: Promise<void>;
-  inForce: () => ConfigurationInForce | undefined;
+  activeConfiguration: () => ActiveConfiguration | undefined;
   /** False when what is known may be out of date. */
-  current: () => boolean;
+  isConfigurationCurrent: () => boolean;
   /** The server as it is registered now; `undefined` once it may not be used. */
-  server: (incarnation: string) => ServerRecord | undefined;
-  closing: Closing;
-  takeResend: TakeResend;
+  findServer: (incarnation: string) => ServerRecord | undefined;
+  drainAdmission: DrainAdmission;
+  consumeRetry: ConsumeRetry;
 };
--- a/packages/gateway/src/request/request_desk.ts
+++ b/packages/gateway/src/request/request_handler.ts
@@ -1,35 +1,35 @@
 /** Takes callers' requests in and runs one task for each. @module */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { setImmediate as nextTurn } from "node:timers/promises";
-import type { CallReader } from "../front/call.ts";
-import type { Call } from "../front/call.ts";
+import type { RequestParser } from "../front/parsed_request.ts";
+import type { Call } from "../front/parsed_request.ts";
 import { Caller } from "./caller.ts";
 import { reply, statusOf } from "./reply.ts";
 import type { ReplyReason } from "./reply.ts";
 import type { RequestContext } from "./request_context.ts";
 import { RequestTask } from "./request_task.ts";
-import { resolveCall } from "./resolve_call.ts";
+import { resolveCall } from "./resolve_request.ts";
 
 /** Milliseconds after which a caller may try again while this entry starts. */
 const RETRY_WHILE_STARTING = 500;
 
 /** See the module. */
-export class RequestDesk {
+export class RequestHandler {
   readonly #context: RequestContext;
-  readonly #reader: CallReader;
+  readonly #reader: RequestParser;
   #active = 0;
 
-  constructor(options: { context: RequestContext; reader: CallReader }) {
+  constructor(options: { context: RequestContext; parser: RequestParser }) {
     this.#context = options.context;
-    this.#reader = options.reader;
+    this.#reader = options.parser;
   }
 
   /** Requests without a final answer. */
-  get active(): number {
+  get activeRequests(): number {
     return this.#active;
   }
 
-  async serve(
+  async handle(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -54,8 +54,9 @@
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    const { clock, inForce, random, metrics, ready } = this.#context;
-    const call = this.#reader.read(request, clock());
+    const { clock, activeConfiguration: inForce, random, metrics, ready } =
+      this.#context;
+    const call = this.#reader.parse(request, clock());
     const caller = new Caller(request, response);
     const limits = inForce()?.configuration.limits;
     const body = await caller.body(limits?.bodyBytes ?? Infinity);
@@ -82,9 +83,9 @@
       this.#refuse(response, call, resolved.error);
       return;
     }
-    const { closing } = this.#context;
-    if (clock() > closing.latestStart(resolved.value)) {
-      const left = resolved.value.limitAt - clock();
+    const { drainAdmission: closing } = this.#context;
+    if (clock() > closing.latestStartTime(resolved.value)) {
+      const left = resolved.value.deadline - clock();
       const retryAfter = Math.min(closing.retryAfter(clock()), left / 3);
       this.#refuse(response, call, "stopping", retryAfter);
       return;
@@ -109,7 +110,13 @@
     reason: ReplyReason,
     retryAfter = RETRY_WHILE_STARTING,
   ): void {
-    const { metrics, log, clock, current, inForce } = this.#context;
+    const {
+      metrics,
+      log,
+      clock,
+      isConfigurationCurrent: current,
+      activeConfiguration: inForce,
+    } = this.#context;
     // What is missing here may be in a newer version that can't be reached.
     const stale = !current() &&
       (reason === "no_route" || reason === "bad_credential");
--- a/packages/gateway/src/request/request_report.ts
+++ b/packages/gateway/src/request/request_report.ts
@@ -1,19 +1,19 @@
 /** What is logged and counted of one request. @module */
 import { incarnationOf } from "@sycamorepulley/decisions";
 import type { RefusalInputs, ServerRecord } from "@sycamorepulley/decisions";
-import type { Call } from "../front/call.ts";
+import type { Call } from "../front/parsed_request.ts";
 import type { AnswerProgress } from "./answer_progress.ts";
 import type { ReplyReason } from "./reply.ts";
 import type { RequestContext } from "./request_context.ts";
-import type { ResolvedCall } from "./resolve_call.ts";
+import type { ResolvedRequest } from "./resolve_request.ts";
 
 /** One method for each decision on the request. */
 export class RequestReport {
   readonly #context: RequestContext;
   readonly #call: Call;
-  readonly #resolved: ResolvedCall;
+  readonly #resolved: ResolvedRequest;
 
-  constructor(context: RequestContext, call: Call, resolved: ResolvedCall) {
+  constructor(context: RequestContext, call: Call, resolved: ResolvedRequest) {
     this.#context = context;
     this.#call = call;
     this.#resolved = resolved;
@@ -24,7 +24,7 @@
     server: ServerRecord,
     grant: { waited: number; by: string; attempt: number },
   ): void {
-    const { metrics, log, granter, clock } = this.#context;
+    const { metrics, log, grantClient: granter, clock } = this.#context;
     const { service, route, organisation, charge } = this.#resolved;
     const waited = Math.round(grant.waited);
     const limit = granter.limits.known.find(incarnationOf(server));
@@ -43,7 +43,7 @@
       ...(limit && {
         limit: limit.perSecond,
         limitBy: limit.by,
-        limitAge: Math.round(clock() - limit.heardAt),
+        limitAge: Math.round(clock() - limit.observedAt),
       }),
     });
   }
@@ -153,7 +153,7 @@
   }
 
   get #version(): number {
-    return this.#context.inForce()?.configuration.version ?? 0;
+    return this.#context.activeConfiguration()?.configuration.version ?? 0;
   }
 
   #age(): number {
--- a/packages/gateway/src/request/request_task.ts
+++ b/packages/gateway/src/request/request_task.ts
@@ -7,10 +7,10 @@
  * again unless it may be repeated, and is never answered as not run.
  * @module
  */
-import { incarnationOf, mayRepeat } from "@sycamorepulley/decisions";
+import { incarnationOf, isRepeatable } from "@sycamorepulley/decisions";
 import type { ServerRecord } from "@sycamorepulley/decisions";
-import type { Call } from "../front/call.ts";
-import type { GrantAnswer } from "../peers/held_ask.ts";
+import type { Call } from "../front/parsed_request.ts";
+import type { GrantResult } from "../peers/pending_grant.ts";
 import { AnswerProgress } from "./answer_progress.ts";
 import { fingerprintOf } from "./backend_headers.ts";
 import type { Caller } from "./caller.ts";
@@ -21,7 +21,7 @@
 import type { ReplyReason } from "./reply.ts";
 import type { RequestContext } from "./request_context.ts";
 import { RequestReport } from "./request_report.ts";
-import type { ResolvedCall } from "./resolve_call.ts";
+import type { ResolvedRequest } from "./resolve_request.ts";
 import { ServerTry } from "./server_try.ts";
 import type { TriedAt, TryEnd } from "./server_try.ts";
 
@@ -38,7 +38,7 @@
 export class RequestTask {
   readonly #context: RequestContext;
   readonly #call: Call;
-  readonly #resolved: ResolvedCall;
+  readonly #resolved: ResolvedRequest;
   readonly #caller: Caller;
   readonly #body: Buffer | undefined;
   readonly #fingerprint: string;
@@ -58,7 +58,7 @@
     options: {
       context: RequestContext;
       call: Call;
-      resolved: ResolvedCall;
+      resolved: ResolvedRequest;
       caller: Caller;
       body: Buffer | undefined;
     },
@@ -74,7 +74,7 @@
     this.#fingerprint = fingerprintOf(
       options.call,
       options.body,
-      options.context.names.request,
+      options.context.headerNames.requestId,
     );
   }
 
@@ -85,7 +85,7 @@
 
   async run(): Promise<void> {
     const { clock } = this.#context;
-    const left = this.#resolved.limitAt - clock();
+    const left = this.#resolved.deadline - clock();
     const timer = setTimeout(() => {
       this.#timeUp = true;
       this.#stop?.();
@@ -103,7 +103,7 @@
       const answer = await this.#ask(grant);
       if (this.#over()) {
         // A grant that is kept without a request takes a place for ever.
-        if (answer !== undefined) this.#context.granter.withdraw(answer.id);
+        if (answer !== undefined) this.#context.grantClient.withdraw(answer.id);
         return;
       }
       if (answer === undefined) continue;
@@ -120,7 +120,7 @@
       this.#answer.left(this.#sent > 0 ? "sent" : "waiting");
       return true;
     }
-    const left = this.#resolved.limitAt - this.#context.clock();
+    const left = this.#resolved.deadline - this.#context.clock();
     if (!this.#timeUp && left >= LEAST_TIME_LEFT) return false;
     this.#giveUp("time_up");
     return true;
@@ -130,13 +130,13 @@
   async #ask(
     grant: number,
   ): Promise<{ id: string; server: ServerRecord } | undefined> {
-    const { granter, clock, server } = this.#context;
+    const { grantClient: granter, clock, findServer: server } = this.#context;
     const { route, service, organisation, cost, charge } = this.#resolved;
     const { tierRank, routeRank } = this.#resolved;
     const asked = clock();
     const { lastEvent } = this.#progress;
     const from = lastEvent === undefined ? this.#call.arrived : asked;
-    const { id, answer } = granter.ask({
+    const { id, result: answer } = granter.submit({
       service,
       organisation,
       tierRank,
@@ -145,15 +145,15 @@
       charge,
       dataCentre: this.#context.dataCentre,
       arrived: this.#call.arrived,
-      goalAt: this.#call.arrived + route.goal,
-      lapsesAt: Math.min(
+      latencyGoalAt: this.#call.arrived + route.latencyGoal,
+      expiresAt: Math.min(
         lapseOf(this.#resolved, from),
-        this.#context.closing.latestStart(this.#resolved),
+        this.#context.drainAdmission.latestStartTime(this.#resolved),
       ),
-      endsAt: this.#resolved.limitAt,
+      deadline: this.#resolved.deadline,
       fingerprint: this.#fingerprint,
-      spread: this.#context.random(),
-      avoid: [...this.#avoid],
+      jitter: this.#context.random(),
+      excludedServers: [...this.#avoid],
     });
     const verdict = await this.#orStopped(answer);
     if (verdict === undefined) {
@@ -178,13 +178,13 @@
   }
 
   async #sendTo(ask: string, server: ServerRecord): Promise<void> {
-    const { pool, granter } = this.#context;
+    const { connectionPool: pool, grantClient: granter } = this.#context;
     const incarnation = incarnationOf(server);
-    const strict = !mayRepeat(this.#resolved.route);
+    const strict = !isRepeatable(this.#resolved.route);
     const channel = await pool.take(server, strict);
     if (channel.isErr) {
       // Nothing reached the server, so no resend is spent.
-      granter.ended(ask, channel.error);
+      granter.recordEnd(ask, channel.error);
       this.#avoid.push(incarnation);
       this.#report.retried(server, channel.error, this.#sent);
       return;
@@ -199,7 +199,7 @@
   }
 
   #gone(incarnation: string): boolean {
-    if (this.#context.server(incarnation) !== undefined) return false;
+    if (this.#context.findServer(incarnation) !== undefined) return false;
     this.#avoid.push(incarnation);
     return true;
   }
@@ -231,14 +231,19 @@
   }
 
   #settle({ ask, server, channel }: TriedAt, { end, runEnd }: TryEnd): void {
-    const { granter, pool, inForce, clock } = this.#context;
+    const {
+      grantClient: granter,
+      connectionPool: pool,
+      activeConfiguration: inForce,
+      clock,
+    } = this.#context;
     const { services } = inForce()?.configuration ?? {};
     const { route, service } = this.#resolved;
     const pace = this.#progress.pace(this.#sent, {
       tokensPerEvent: services?.get(service)?.tokensPerEvent ?? 1,
-      acceptedPause: route.longestPause,
+      acceptedPause: route.pauseGoal,
     }, clock());
-    granter.ended(ask, runEnd, pace);
+    granter.recordEnd(ask, runEnd, pace);
     switch (end.kind) {
       case "stream":
         pool.give(server, channel);
@@ -293,7 +298,7 @@
   /** What may have run may go to another server only if it may be repeated. */
   #mayTryAnother(): boolean {
     const { route } = this.#resolved;
-    return mayRepeat(route) && this.#sent < route.maximumServers;
+    return isRepeatable(route) && this.#sent < route.maximumServers;
   }
 
   /** Goes on after a try that did not run the request, or answers finally. */
@@ -304,7 +309,7 @@
 
   /** Takes a resend from the service's budget; false when it is spent. */
   #takeRetry(server: ServerRecord, reason: string): boolean {
-    const { takeResend, clock } = this.#context;
+    const { consumeRetry: takeResend, clock } = this.#context;
     const { service } = this.#resolved;
     if (!takeResend(service, clock())) return false;
     this.#report.retried(server, reason, this.#sent);
@@ -319,14 +324,14 @@
     this.#answer.giveUp({
       reason,
       mayHaveRun: this.#mayHaveRun,
-      left: this.#resolved.limitAt - this.#context.clock(),
+      left: this.#resolved.deadline - this.#context.clock(),
       retryAfter,
       decided,
     });
   }
 
   /** The answer, or `undefined` once the caller left or the time was up. */
-  #orStopped(answer: Promise<GrantAnswer>): Promise<GrantAnswer | undefined> {
+  #orStopped(answer: Promise<GrantResult>): Promise<GrantResult | undefined> {
     return new Promise((resolve) => {
       this.#stop = () => resolve(undefined);
       if (this.#caller.left || this.#timeUp) resolve(undefined);
--- a/packages/gateway/src/request/resolve_call.ts
+++ b/packages/gateway/src/request/resolve_request.ts
@@ -1,15 +1,15 @@
 /** From a call to its route, organisation and service, or a refusal. @module */
-import { chooseTarget } from "@sycamorepulley/decisions";
+import { chooseService } from "@sycamorepulley/decisions";
 import type { Cost, Route } from "@sycamorepulley/decisions";
 import { Result } from "true-myth/result";
-import type { Call } from "../front/call.ts";
+import type { Call } from "../front/parsed_request.ts";
 import type {
-  ConfigurationInForce,
+  ActiveConfiguration,
   Organisation,
 } from "../state/gateway_configuration.ts";
 
 /** What is known of a call before it is placed. */
-export type ResolvedCall = {
+export type ResolvedRequest = {
   route: Route;
   service: string;
   /** Empty where the route asks for no credential. */
@@ -21,7 +21,7 @@
   /** Tokens that the quota is charged. */
   charge: number;
   /** Instant of the last answer that helps anybody. */
-  limitAt: number;
+  deadline: number;
 };
 
 /** Why a call is refused before it is placed. */
@@ -40,16 +40,17 @@
 /** Resolves by the configuration in force; `draw` in [0, 1) splits traffic. */
 export function resolveCall(
   call: Call,
-  inForce: ConfigurationInForce | undefined,
+  inForce: ActiveConfiguration | undefined,
   draw: number,
-): Result<ResolvedCall, CallProblem> {
+): Result<ResolvedRequest, CallProblem> {
   if (inForce === undefined) return Result.err("no_configuration");
   const route = inForce.routes.find(call.host, call.target);
-  const service = route && chooseTarget(route, draw);
+  const service = route && chooseService(route, draw);
   if (route === undefined || service === undefined) {
     return Result.err("no_route");
   }
-  const asked = !route.open && inForce.configuration.organisations.length > 0;
+  const asked = !route.allowsAnonymous &&
+    inForce.configuration.organisations.length > 0;
   const organisation = inForce.organisationOf(call.credential);
   if (asked && organisation === undefined) return Result.err("bad_credential");
   const known = asked ? organisation : undefined;
@@ -67,7 +68,7 @@
       outputTokens: Math.min(stated, Math.round(expected)),
     },
     charge: chargeOf(known, tokens),
-    limitAt: call.arrived + Math.min(call.timeLeft ?? Infinity, route.timeout),
+    deadline: call.arrived + Math.min(call.timeLeft ?? Infinity, route.timeout),
   });
 }
 
--- a/packages/gateway/src/request/retry_budgets.ts
+++ b/packages/gateway/src/request/retry_budgets.ts
@@ -7,13 +7,13 @@
 const RETRY_PART = 0.6;
 
 /** Takes a resend of the service; false when its budget is spent. */
-export type TakeResend = (service: string, now: number) => boolean;
+export type ConsumeRetry = (service: string, now: number) => boolean;
 
 /** One budget a service, by the bounds and the number of entries at each time. */
-export function retryBudgets(
+export function createRetryBudgets(
   bounds: () => GatewayBounds,
   entries: () => number,
-): TakeResend {
+): ConsumeRetry {
   const budgets = new Map<string, RetryBudget>();
   return (service, now) => {
     const options = optionsOf(bounds(), Math.max(1, entries()));
@@ -21,7 +21,7 @@
     known?.configure(options, now);
     const budget = known ?? new RetryBudget(options);
     budgets.set(service, budget);
-    return budget.allow(now);
+    return budget.tryTake(now);
   };
 }
 
@@ -29,8 +29,8 @@
   const { retryRatio, retrySlack, retryWindowSeconds } = bounds;
   const largest = retrySlack * RETRY_PART / entries;
   return {
-    share: retryRatio * RETRY_PART,
-    freePerSecond: largest / 2 / retryWindowSeconds,
-    largest: Math.max(2, largest / 2),
+    retriesPerSuccess: retryRatio * RETRY_PART,
+    refillPerSecond: largest / 2 / retryWindowSeconds,
+    capacity: Math.max(2, largest / 2),
   };
 }
--- a/packages/gateway/src/request/server_try.ts
+++ b/packages/gateway/src/request/server_try.ts
@@ -1,8 +1,8 @@
 /** One try of a request at one backend server, passed on to its caller. @module */
 import { incarnationOf } from "@sycamorepulley/decisions";
-import type { RunEnd, ServerRecord } from "@sycamorepulley/decisions";
+import type { RunOutcome, ServerRecord } from "@sycamorepulley/decisions";
 import type { Channel } from "../backend/channel.ts";
-import type { Call } from "../front/call.ts";
+import type { Call } from "../front/parsed_request.ts";
 import type { AnswerProgress } from "./answer_progress.ts";
 import { backendHeaders } from "./backend_headers.ts";
 import type { Caller } from "./caller.ts";
@@ -10,7 +10,7 @@
 import type { ExchangeEnd } from "./exchange.ts";
 import { silenceLimits } from "./patience.ts";
 import type { RequestContext } from "./request_context.ts";
-import type { ResolvedCall } from "./resolve_call.ts";
+import type { ResolvedRequest } from "./resolve_request.ts";
 import { SilenceWatch } from "./silence_watch.ts";
 
 /** Milliseconds without a first part that tell of a dark server. */
@@ -20,7 +20,7 @@
 export type TriedRequest = {
   context: RequestContext;
   call: Call;
-  resolved: ResolvedCall;
+  resolved: ResolvedRequest;
   caller: Caller;
   body: Buffer | undefined;
   progress: AnswerProgress;
@@ -30,7 +30,7 @@
 export type TriedAt = { ask: string; server: ServerRecord; channel: Channel };
 
 /** How it ended, and what that tells of the server. */
-export type TryEnd = { end: ExchangeEnd; runEnd: RunEnd };
+export type TryEnd = { end: ExchangeEnd; runEnd: RunOutcome };
 
 /** See the module. */
 export class ServerTry {
@@ -55,7 +55,7 @@
   /** `silent` is called after a silence, if given; true gives the server up. */
   async run(silent: (() => boolean) | undefined): Promise<TryEnd> {
     const { context, call, resolved, body, progress } = this.#request;
-    const { clock, names, closing } = context;
+    const { clock, headerNames: names, drainAdmission: closing } = context;
     const { server } = this.#at;
     this.#watch = silent && this.#watched(silent);
     this.#exchange.start({
@@ -74,7 +74,9 @@
     const end = await this.#exchange.done;
     this.#watch?.end();
     const time = clock() - this.#sentAt;
-    if (end.kind === "stream") closing.streams.observe(resolved.cost, time);
+    if (end.kind === "stream") {
+      closing.streamDurations.observe(resolved.cost, time);
+    }
     const dark = !this.#exchange.heard && time > DARK_AFTER;
     // Its caller left a server that had said nothing for long.
     const sawDark = end.kind === "aborted" && dark;
@@ -92,7 +94,7 @@
 
   #newExchange(): Exchange {
     const { context, call, caller, progress } = this.#request;
-    const { clock, granter, names } = context;
+    const { clock, grantClient: granter, headerNames: names } = context;
     const { ask, server, channel } = this.#at;
     return new Exchange({
       names,
@@ -100,11 +102,11 @@
       channel,
       answered: ({ headers }) => {
         const limit = headers[names.serverLimit.toLowerCase()];
-        granter.limits.heard(incarnationOf(server), limit, this.#sentAt);
+        granter.limits.observe(incarnationOf(server), limit, this.#sentAt);
       },
       first: () => {
         progress.first(clock());
-        granter.firstAnswer(ask, clock() - this.#sentAt);
+        granter.recordResponseStart(ask, clock() - this.#sentAt);
       },
       sink: {
         begin: (head) => caller.begin(head),
@@ -118,7 +120,7 @@
   }
 }
 
-function runEndOf(end: ExchangeEnd): RunEnd {
+function runEndOf(end: ExchangeEnd): RunOutcome {
   switch (end.kind) {
     case "stream":
       return "answered";
--- a/packages/gateway/src/state/fleet_state.ts
+++ b/packages/gateway/src/state/fleet_state.ts
@@ -4,11 +4,11 @@
  * only ever moves forward.
  * @module
  */
-import { EntryRoll, ServerDirectory } from "@sycamorepulley/decisions";
+import { MembershipList, ServerDirectory } from "@sycamorepulley/decisions";
 import type { ServerRecord } from "@sycamorepulley/decisions";
 import type { ItemChange, StoredItem } from "@sycamorepulley/store";
 import type { EventLog } from "../observe/event_log.ts";
-import { ConfigurationInForce } from "./gateway_configuration.ts";
+import { ActiveConfiguration } from "./gateway_configuration.ts";
 import type { PrefixListener } from "./prefix_follower.ts";
 import type { RecordCodec } from "./records.ts";
 import { StateListener } from "./state_listener.ts";
@@ -33,14 +33,14 @@
   readonly directory = new ServerDirectory();
   /** Entries that are registered. */
   readonly members = new Map<string, Member>();
-  readonly roll = new EntryRoll();
+  readonly roll = new MembershipList();
   /** Where entries are that are registered no more, or never were here. */
   readonly #unregistered = new Map<string, Member>();
   readonly #codec: RecordCodec;
   readonly #log: EventLog;
   readonly #clock: () => number;
   readonly #changed: StateChanged;
-  #inForce: ConfigurationInForce | undefined;
+  #inForce: ActiveConfiguration | undefined;
   #published: PublishedText = { revision: 0, value: "" };
   #configurationConfirmed = false;
   #serversKnown = false;
@@ -62,12 +62,12 @@
     this.#changed = options.changed;
     options.contact.listen(this.directory);
     options.contact.listen({
-      heard: () => {},
-      failed: () => this.#configurationConfirmed = false,
+      recordStoreResponse: () => {},
+      recordStoreFailure: () => this.#configurationConfirmed = false,
     });
   }
 
-  get inForce(): ConfigurationInForce | undefined {
+  get inForce(): ActiveConfiguration | undefined {
     return this.#inForce;
   }
 
@@ -101,7 +101,7 @@
    */
   adopt(value: string, revision: number, from: string): boolean {
     if (revision <= this.#published.revision) return true;
-    const decoded = this.#codec.configuration(value);
+    const decoded = this.#codec.decodeConfiguration(value);
     if (decoded.isErr) {
       this.#log.write({
         event: "configuration_unreadable",
@@ -112,7 +112,7 @@
       return false;
     }
     this.#published = { revision, value };
-    this.#inForce = new ConfigurationInForce(decoded.value);
+    this.#inForce = new ActiveConfiguration(decoded.value);
     this.#log.write({
       event: "configuration_adopted",
       version: decoded.value.version,
@@ -175,7 +175,7 @@
     const now = this.#clock();
     for (const { countedFor, ...member } of members) {
       if (this.members.has(member.instance)) continue;
-      this.roll.told(member.instance, countedFor, now);
+      this.roll.mergeFromPeer(member.instance, countedFor, now);
       this.#unregistered.set(member.instance, member);
     }
     this.#membersKnown = true;
@@ -223,7 +223,7 @@
       if (member === undefined) return;
       const name = item.key.slice(prefix.length);
       this.members.set(name, member);
-      this.roll.registered(name);
+      this.roll.markRegistered(name);
     };
     return new StateListener({
       snapshot: (items) => {
@@ -251,7 +251,7 @@
     const member = this.members.get(name);
     if (member !== undefined) this.#unregistered.set(name, member);
     this.members.delete(name);
-    this.roll.lapsed(name, this.#clock());
+    this.roll.markUnregistered(name, this.#clock());
   }
 
   #configuration(item: StoredItem): void {
@@ -261,7 +261,7 @@
 
   #server(item: StoredItem): ServerRecord | undefined {
     const id = item.key.slice(this.#codec.serverPrefix.length);
-    return this.#codec.server(id, item.value);
+    return this.#codec.decodeServer(id, item.value);
   }
 
   #serverChanged(change: ItemChange): void {
--- a/packages/gateway/src/state/follow.ts
+++ b/packages/gateway/src/state/follow.ts
@@ -1,5 +1,5 @@
 /** What a gateway follows in the store. @module */
-import { WatchTurns } from "@sycamorepulley/decisions";
+import { WatchTimeouts } from "@sycamorepulley/decisions";
 import type { WatchGroup } from "@sycamorepulley/decisions";
 import type { MetadataStore } from "@sycamorepulley/store";
 import type { FleetState } from "./fleet_state.ts";
@@ -41,8 +41,8 @@
     listener: PrefixListener,
     { shortest, coalesces }: { shortest: number; coalesces: boolean },
   ) => {
-    const turns = new WatchTurns(shortest);
-    const wait = () => turns.next(group());
+    const turns = new WatchTimeouts(shortest);
+    const wait = () => turns.nextTimeout(group());
     const coalescingDelay = () =>
       coalesces ? turns.coalescingDelay(group()) : 0;
     const parts = {
--- a/packages/gateway/src/state/gateway_configuration.ts
+++ b/packages/gateway/src/state/gateway_configuration.ts
@@ -3,7 +3,7 @@
 import type { Quota, Route } from "@sycamorepulley/decisions";
 
 /** What callers may send, and how long they may take. Durations in ms. */
-export type FrontLimits = {
+export type CallerLimits = {
   headerBytes: number;
   bodyBytes: number;
   headerTimeout: number;
@@ -35,13 +35,13 @@
   version: number;
   routes: readonly Route[];
   services: ReadonlyMap<string, ServiceLimits>;
-  limits: FrontLimits;
+  limits: CallerLimits;
   /** Empty: no credentials are asked for. */
   organisations: readonly Organisation[];
 };
 
 /** A configuration with its look-up tables. */
-export class ConfigurationInForce {
+export class ActiveConfiguration {
   readonly configuration: GatewayConfiguration;
   readonly routes: RouteTable;
   readonly #byCredential = new Map<string, Organisation>();
--- a/packages/gateway/src/state/membership.ts
+++ b/packages/gateway/src/state/membership.ts
@@ -3,7 +3,7 @@
  * count it in the fleet.
  * @module
  */
-import { COUNTED_FOR } from "@sycamorepulley/decisions";
+import { UNREGISTERED_GRACE_PERIOD } from "@sycamorepulley/decisions";
 import type { MetadataStore, PlatformError } from "@sycamorepulley/store";
 import type { EventLog } from "../observe/event_log.ts";
 import type { Address } from "../settings.ts";
@@ -57,7 +57,7 @@
    */
   counted(now: number, named: boolean): boolean {
     if (this.#validUntil === -Infinity) return named;
-    return now < this.#validUntil + COUNTED_FOR;
+    return now < this.#validUntil + UNREGISTERED_GRACE_PERIOD;
   }
 
   /** `address`: where other entries connect. */
--- a/packages/gateway/src/state/records.ts
+++ b/packages/gateway/src/state/records.ts
@@ -11,8 +11,10 @@
   abstract readonly serverPrefix: string;
 
   /** The error says which part is unreadable. */
-  abstract configuration(value: string): Result<GatewayConfiguration, string>;
+  abstract decodeConfiguration(
+    value: string,
+  ): Result<GatewayConfiguration, string>;
 
   /** `undefined` for a record that names no server to use. */
-  abstract server(id: string, value: string): ServerRecord | undefined;
+  abstract decodeServer(id: string, value: string): ServerRecord | undefined;
 }
--- a/packages/gateway/src/state/store_contact.ts
+++ b/packages/gateway/src/state/store_contact.ts
@@ -23,8 +23,8 @@
 
 /** Hears of every call's end; `now` in milliseconds. */
 export abstract class ContactListener {
-  abstract heard(now: number): void;
-  abstract failed(): void;
+  abstract recordStoreResponse(now: number): void;
+  abstract recordStoreFailure(): void;
 }
 
 /** See the module. */
@@ -56,7 +56,7 @@
   heard(): void {
     const now = this.#clock();
     this.#heardAt = now;
-    for (const listener of this.#listeners) listener.heard(now);
+    for (const listener of this.#listeners) listener.recordStoreResponse(now);
     if (this.#lost) {
       this.#log.write({ event: "dependency_regained", dependency: "store" });
     }
@@ -67,7 +67,7 @@
   /** A call to the store failed. */
   failed({ error, prefix, time }: FailedCall): void {
     const { step, reason, detail } = error;
-    for (const listener of this.#listeners) listener.failed();
+    for (const listener of this.#listeners) listener.recordStoreFailure();
     this.#log.write({
       event: "store_call_failed",
       step,
--- a/packages/gateway/test/divided_quota_test.ts
+++ b/packages/gateway/test/divided_quota_test.ts
@@ -1,8 +1,8 @@
 import { MemoryMetadataStore } from "@sycamorepulley/store";
 import t from "tap";
-import { configuration, Fixture, until } from "./fixture.ts";
-import { sealed } from "./stand_in_server.ts";
-import type { StandInServer } from "./stand_in_server.ts";
+import { Fixture, storedConfiguration, waitUntil } from "./fixture.ts";
+import { writeSealedHead } from "./fake_backend_server.ts";
+import type { FakeBackendServer } from "./fake_backend_server.ts";
 import { StoreView } from "./store_view.ts";
 
 /** Seconds. */
@@ -12,12 +12,12 @@
 const TOKENS = 100;
 
 /** Times at which requests ran. */
-function runsOf(servers: readonly StandInServer[]): number[] {
+function runsOf(servers: readonly FakeBackendServer[]): number[] {
   const runs: number[] = [];
   for (const server of servers) {
-    server.answer = (response, received) => {
+    server.respond = (response, received) => {
       runs.push(performance.now());
-      sealed(response, received).end("ok");
+      writeSealedHead(response, received).end("ok");
     };
   }
   return runs;
@@ -42,7 +42,7 @@
 t.test("an entry that starts while the granting one is not registered adds no quota", async (t) => {
   // Shares of entries that hear each other in part were counted twice.
   const store = new MemoryMetadataStore();
-  store.put("configuration", configuration(1));
+  store.put("configuration", storedConfiguration(1));
   const views = new Map<string, StoreView>();
   const start = (instance: string, servers?: Fixture["servers"]) => {
     const view = new StoreView(store);
@@ -59,14 +59,14 @@
   }
   const grouped = () =>
     entries.at(-1)!.events.filter(({ message }) => message === "group_changed");
-  t.ok(await until(() => grouped().length > 0));
+  t.ok(await waitUntil(() => grouped().length > 0));
   await new Promise((resolve) => setTimeout(resolve, 800));
   const granting = String(grouped().at(-1)?.context["granting"]);
   views.get(granting)!.turnedAway = true;
   store.remove(`sycamorepulley/entries/${granting}`);
   await new Promise((resolve) => setTimeout(resolve, 200));
   entries.push(await start("entry-4", servers));
-  await entries.at(-1)!.untilReady();
+  await entries.at(-1)!.waitUntilReady();
   const runs = runsOf(servers);
   const end = performance.now() + 2 * WINDOW * 1000;
   await Promise.all(entries.map((entry) => press(entry, end)));
--- a/packages/gateway/test/stand_in_server.ts
+++ b/packages/gateway/test/fake_backend_server.ts
@@ -18,10 +18,11 @@
 ) => void;
 
 /** A backend server of tests: records what it gets, answers as told. */
-export class StandInServer {
-  readonly received: Received[] = [];
+export class FakeBackendServer {
+  readonly receivedRequests: Received[] = [];
   readonly #server: Server;
-  answer: Answer = (response, received) => sealed(response, received).end("ok");
+  respond: Answer = (response, received) =>
+    writeSealedHead(response, received).end("ok");
   closedConnections = 0;
 
   constructor() {
@@ -31,8 +32,8 @@
       request.on("end", () => {
         const { method = "", url: target = "", headers } = request;
         const received = { method, target, headers, body };
-        this.received.push(received);
-        this.answer(response, received, request.socket);
+        this.receivedRequests.push(received);
+        this.respond(response, received, request.socket);
       });
     });
     this.#server.on("connection", (socket) => {
@@ -58,7 +59,7 @@
 }
 
 /** The head of a server's own answer. */
-export function sealed(
+export function writeSealedHead(
   response: ServerResponse,
   received: Received,
   headers: Record<string, string> = {},
@@ -71,15 +72,17 @@
 }
 
 /** The same for a stream of events. */
-export function stream(
+export function startEventStream(
   response: ServerResponse,
   received: Received,
 ): ServerResponse {
-  return sealed(response, received, { "content-type": "text/event-stream" });
+  return writeSealedHead(response, received, {
+    "content-type": "text/event-stream",
+  });
 }
 
 /** One event of a stream. */
-export function event(id: number): string {
+export function streamEvent(id: number): string {
   return `id: ${id}\ndata: piece ${id}\n\n`;
 }
 
--- a/packages/gateway/test/fixture.ts
+++ b/packages/gateway/test/fixture.ts
@@ -10,22 +10,22 @@
   GatewayPorts,
   HeaderNames,
 } from "../src/mod.ts";
-import { Recorded } from "./recorded.ts";
-import type { Logged } from "./recorded.ts";
-import { StandInServer } from "./stand_in_server.ts";
+import { RecordingSink } from "./recording_sink.ts";
+import type { LoggedEvent } from "./recording_sink.ts";
+import { FakeBackendServer } from "./fake_backend_server.ts";
 
 const NAMES: HeaderNames = {
-  request: "X-Request",
+  requestId: "X-Request",
   credential: "X-Credential",
   organisation: "X-Organisation",
-  timeLeft: "X-Time-Left",
+  remainingTime: "X-Time-Left",
   expectedServer: "X-Expected-Server",
   notRun: "X-Not-Run",
   serverLimit: "X-Server-Limit",
   seal: "X-Seal",
   tokenUsage: "X-Tokens",
-  expectedTokens: "X-Expected-Tokens",
-  lastEvent: "Last-Event-Id",
+  expectedOutputTokens: "X-Expected-Tokens",
+  lastEventId: "Last-Event-Id",
   reserved: ["X-Hold"],
 };
 
@@ -33,13 +33,15 @@
   override readonly configurationKey = "configuration";
   override readonly serverPrefix = "servers/";
 
-  override configuration(value: string): Result<GatewayConfiguration, string> {
+  override decodeConfiguration(
+    value: string,
+  ): Result<GatewayConfiguration, string> {
     const parsed = JSON.parse(value);
     const services = new Map(Object.entries(parsed.services));
     return Result.ok({ ...parsed, services } as GatewayConfiguration);
   }
 
-  override server(_id: string, value: string): ServerRecord | undefined {
+  override decodeServer(_id: string, value: string): ServerRecord | undefined {
     return value === "" ? undefined : JSON.parse(value);
   }
 }
@@ -53,12 +55,12 @@
     repeatability: "idempotent",
     targets: [{ service: "calls", weight: 1 }],
     timeout: 2000,
-    goal: 500,
+    latencyGoal: 500,
     tierRank: 0,
     maximumServers: 2,
-    open: false,
+    allowsAnonymous: false,
     resumable: false,
-    longestPause: undefined,
+    pauseGoal: undefined,
     ...changes,
   };
 }
@@ -72,12 +74,12 @@
     prefix: "/resumed/",
     repeatability: "streaming",
     resumable: true,
-    longestPause: 150,
+    pauseGoal: 150,
   }),
 ];
 
 /** The configuration of tests, as stored. */
-export function configuration(version: number, routes = ROUTES): string {
+export function storedConfiguration(version: number, routes = ROUTES): string {
   return JSON.stringify({
     version,
     routes,
@@ -99,28 +101,28 @@
 }
 
 /** An answer as a caller sees it; `whole` is false for one that was cut. */
-export type Seen = {
+export type CallerResponse = {
   status: number;
   headers: IncomingHttpHeaders;
   body: string;
-  whole: boolean;
+  complete: boolean;
 };
 
 /** One gateway with its store and two servers. */
 export class Fixture {
   readonly store: MemoryMetadataStore;
-  readonly servers: [StandInServer, StandInServer];
+  readonly servers: [FakeBackendServer, FakeBackendServer];
   readonly gateway: Gateway;
   readonly ports: GatewayPorts;
   /** What the gateway logged. */
-  readonly events: readonly Logged[];
+  readonly events: readonly LoggedEvent[];
 
   private constructor(
     store: MemoryMetadataStore,
-    servers: [StandInServer, StandInServer],
+    servers: [FakeBackendServer, FakeBackendServer],
     gateway: Gateway,
     ports: GatewayPorts,
-    events: readonly Logged[],
+    events: readonly LoggedEvent[],
   ) {
     this.store = store;
     this.servers = servers;
@@ -136,7 +138,7 @@
       view?: MetadataStore;
       /** Seconds over which quotas are counted. */
       quotaWindow?: number;
-      servers?: [StandInServer, StandInServer];
+      servers?: [FakeBackendServer, FakeBackendServer];
       instance?: string;
       seeds?: { host: string; port: number }[];
     } = {},
@@ -144,7 +146,7 @@
     const store = options.store ?? new MemoryMetadataStore();
     const servers = options.servers ?? await startServers(store);
     const anyPort = { host: "127.0.0.1", port: 0 };
-    const sink = new Recorded();
+    const sink = new RecordingSink();
     const gateway = new Gateway({
       settings: {
         instance: options.instance ?? "entry-1",
@@ -168,7 +170,7 @@
       },
       store: options.view ?? store,
       codec: new JsonRecords(),
-      names: NAMES,
+      headerNames: NAMES,
       sink,
     });
     const ports = await gateway.start();
@@ -176,11 +178,11 @@
   }
 
   /** Starts with a configuration in force. */
-  static async ready(): Promise<Fixture> {
+  static async startReady(): Promise<Fixture> {
     const store = new MemoryMetadataStore();
-    store.put("configuration", configuration(1));
+    store.put("configuration", storedConfiguration(1));
     const fixture = await Fixture.start({ store });
-    await fixture.untilReady();
+    await fixture.waitUntilReady();
     return fixture;
   }
 
@@ -196,7 +198,7 @@
     });
   }
 
-  async untilReady(): Promise<void> {
+  async waitUntilReady(): Promise<void> {
     for (let count = 0; count < 200; count++) {
       if (await this.readiness() === 200) return;
       await new Promise((resolve) => setTimeout(resolve, 10));
@@ -218,7 +220,7 @@
       headers?: Record<string, string>;
       signal?: AbortSignal;
     } = {},
-  ): Promise<Seen> {
+  ): Promise<CallerResponse> {
     return new Promise((resolve, reject) => {
       const request = httpRequest({
         host: "127.0.0.1",
@@ -243,7 +245,7 @@
             status: response.statusCode ?? 0,
             headers: response.headers,
             body,
-            whole: response.complete,
+            complete: response.complete,
           }));
       });
       request.on("error", reject);
@@ -259,20 +261,24 @@
 
 async function startServers(
   store: MemoryMetadataStore,
-): Promise<[StandInServer, StandInServer]> {
-  const servers: [StandInServer, StandInServer] = [
-    new StandInServer(),
-    new StandInServer(),
+): Promise<[FakeBackendServer, FakeBackendServer]> {
+  const servers: [FakeBackendServer, FakeBackendServer] = [
+    new FakeBackendServer(),
+    new FakeBackendServer(),
   ];
   for (const [index, server] of servers.entries()) {
     await server.start();
-    store.put(`servers/s${index}`, record(`s${index}`, server.port));
+    store.put(`servers/s${index}`, storedServer(`s${index}`, server.port));
   }
   return servers;
 }
 
 /** A server's record, as stored. */
-export function record(id: string, port: number, draining = false): string {
+export function storedServer(
+  id: string,
+  port: number,
+  draining = false,
+): string {
   const record: ServerRecord = {
     id,
     startedAt: 1,
@@ -288,7 +294,7 @@
 }
 
 /** Waits for at most three seconds until `check` holds. */
-export async function until(
+export async function waitUntil(
   check: () => Promise<boolean> | boolean,
 ): Promise<boolean> {
   for (let count = 0; count < 150; count++) {
--- a/packages/gateway/test/fleet_state_test.ts
+++ b/packages/gateway/test/fleet_state_test.ts
@@ -4,7 +4,7 @@
 import type { Member } from "../src/state/fleet_state.ts";
 import type { RecordCodec } from "../src/state/records.ts";
 import { StoreContact } from "../src/state/store_contact.ts";
-import { Recorded } from "./recorded.ts";
+import { RecordingSink } from "./recording_sink.ts";
 
 const PREFIX = "entries/";
 
@@ -15,7 +15,7 @@
 t.test("a dead entry is not kept alive by being told of again and again", (t) => {
   let now = 0;
   const clock = () => now;
-  const log = new EventLog({ instance: "a", sink: new Recorded(), clock });
+  const log = new EventLog({ instance: "a", sink: new RecordingSink(), clock });
   const contact = new StoreContact({ log, clock });
   const codec = { serverPrefix: "servers/" } as RecordCodec;
   const state = new FleetState({
--- a/packages/gateway/test/granter_test.ts
+++ b/packages/gateway/test/granter_test.ts
@@ -1,11 +1,11 @@
-import type { Ask, ServerRecord } from "@sycamorepulley/decisions";
+import type { GrantRequest, ServerRecord } from "@sycamorepulley/decisions";
 import t from "tap";
 import { EventLog, LineSink } from "../src/mod.ts";
-import { Granter } from "../src/peers/granter.ts";
-import type { FleetView } from "../src/peers/granter.ts";
-import type { GrantAnswer } from "../src/peers/held_ask.ts";
+import { GrantClient } from "../src/peers/grant_client.ts";
+import type { FleetView } from "../src/peers/grant_client.ts";
+import type { GrantResult } from "../src/peers/pending_grant.ts";
 import type { PeerEntry, Peers } from "../src/peers/peers.ts";
-import { record } from "./fixture.ts";
+import { storedServer } from "./fixture.ts";
 
 class Unheard extends LineSink {
   override push(): boolean {
@@ -15,16 +15,16 @@
 
 /** Granters that hear each other at once. */
 class Wire {
-  readonly #granters = new Map<string, Granter>();
+  readonly #granters = new Map<string, GrantClient>();
 
-  granter(instance: string): Granter {
+  granter(instance: string): GrantClient {
     const peers = {
       announceTo: () => {},
-      send: (to: string, message: Parameters<Granter["received"]>[1]) =>
+      send: (to: string, message: Parameters<GrantClient["received"]>[1]) =>
         this.#granters.get(to)?.received(instance, message),
     };
     const clock = () => 0;
-    const granter = new Granter({
+    const granter = new GrantClient({
       instance,
       incarnation: instance,
       clock,
@@ -32,7 +32,7 @@
       peers: () => peers as unknown as Peers,
       leeway: { window: 8000, overage: 0, slack: 0 },
     });
-    granter.setServers([JSON.parse(record("s", 1)) as ServerRecord]);
+    granter.setServers([JSON.parse(storedServer("s", 1)) as ServerRecord]);
     this.#granters.set(instance, granter);
     return granter;
   }
@@ -55,7 +55,7 @@
   return { self, peers, shares, stated: 0 };
 }
 
-const REQUEST: Omit<Ask, "id" | "entry"> = {
+const REQUEST: Omit<GrantRequest, "id" | "entry"> = {
   service: "calls",
   organisation: "firm",
   tierRank: 0,
@@ -64,12 +64,12 @@
   charge: 70,
   dataCentre: "a",
   arrived: 0,
-  goalAt: 500,
-  lapsesAt: 2000,
-  endsAt: 2000,
+  latencyGoalAt: 500,
+  expiresAt: 2000,
+  deadline: 2000,
   fingerprint: "print",
-  spread: 0.5,
-  avoid: [],
+  jitter: 0.5,
+  excludedServers: [],
 };
 
 /** An entry "a" that asks "x", and "x" which grants. */
@@ -87,14 +87,14 @@
 function full() {
   const entries = pair();
   const { asking, granting } = entries;
-  const running = [1, 2, 3, 4].map(() => asking.ask(REQUEST));
+  const running = [1, 2, 3, 4].map(() => asking.submit(REQUEST));
   granting.pump();
-  const { answer } = asking.ask(REQUEST);
+  const { result: answer } = asking.submit(REQUEST);
   return { ...entries, running, answer };
 }
 
 /** The answer, if it comes at once. */
-function soon(answer: Promise<GrantAnswer>): Promise<GrantAnswer | string> {
+function soon(answer: Promise<GrantResult>): Promise<GrantResult | string> {
   const undecided = new Promise<string>((resolve) =>
     setTimeout(() => resolve("undecided"), 50)
   );
@@ -106,20 +106,20 @@
   const { asking, granting, a, x } = pair();
   const quotas = new Map([["firm", { ratePerSecond: 1000, burst: 1000 }]]);
   granting.setQuotas(quotas);
-  const first = asking.ask(REQUEST);
+  const first = asking.submit(REQUEST);
   granting.pump();
-  t.match(await first.answer, { kind: "grant", by: "x" });
+  t.match(await first.result, { kind: "grant", by: "x" });
   asking.regroup(view(a, [x, entry("y", 3, "y")]));
-  const second = granting.ask(REQUEST);
+  const second = granting.submit(REQUEST);
   granting.pump();
-  t.equal(await soon(second.answer), "undecided");
+  t.equal(await soon(second.result), "undecided");
 });
 
 t.test("an ask is decided by whom it was asked of, whomever that one asks", async (t) => {
   // Dropped without a word, it held its caller until the time was up.
   const { asking, granting, a, running, answer } = full();
   granting.regroup(view(entry("x", 2, "y"), [a, entry("y", 3, "y")]));
-  for (const { id } of running) asking.ended(id, "answered");
+  for (const { id } of running) asking.recordEnd(id, "answered");
   granting.pump();
   t.match(await soon(answer), { kind: "grant", by: "x" });
 });
@@ -131,7 +131,7 @@
   asking.lost("x");
   asking.joined("x");
   granting.pump();
-  for (const { id } of running) asking.ended(id, "answered");
+  for (const { id } of running) asking.recordEnd(id, "answered");
   granting.pump();
   t.match(await soon(answer), { kind: "grant", by: "x" });
 });
@@ -139,10 +139,10 @@
 t.test("the next granting entry is told the limits that servers state", (t) => {
   // It sent a server in need as much as one without a limit.
   const { asking, granting } = pair();
-  asking.limits.heard("s@1", "2", -10);
+  asking.limits.observe("s@1", "2", -10);
   t.match(granting.limits.known.find("s@1"), { perSecond: 2, by: "a" });
   const next = asking;
-  granting.limits.heard("t@1", "3", -10);
+  granting.limits.observe("t@1", "3", -10);
   t.equal(next.limits.known.find("t@1"), undefined);
   granting.regroup(view(entry("x", 2, "a"), [entry("a", 3, "a")]));
   t.match(next.limits.known.find("t@1"), { perSecond: 3, by: "x" });
--- a/packages/gateway/test/recorded.ts
+++ b/packages/gateway/test/recording_sink.ts
@@ -1,11 +1,11 @@
 import { LineSink } from "../src/mod.ts";
 
 /** A logged event: its name and its inputs. */
-export type Logged = { message: string; context: Record<string, unknown> };
+export type LoggedEvent = { message: string; context: Record<string, unknown> };
 
 /** Keeps all lines; a process has one log, so the last one made gets them. */
-export class Recorded extends LineSink {
-  readonly events: Logged[] = [];
+export class RecordingSink extends LineSink {
+  readonly events: LoggedEvent[] = [];
 
   override push(line: string): boolean {
     this.events.push(JSON.parse(line));
--- a/packages/gateway/test/refusal_line_test.ts
+++ b/packages/gateway/test/refusal_line_test.ts
@@ -5,7 +5,7 @@
   // A firm was told 429 in a busy minute. The line named neither the firm, nor
   // whether a place was free, nor what its quota stood at: the on-call engineer
   // could not tell a quota that is too low from servers that were full.
-  const fixture = await Fixture.ready();
+  const fixture = await Fixture.startReady();
   const headers = { "x-tokens": "90000,10" };
   await fixture.call("/stream/", { method: "POST", headers });
   const seen = await fixture.call("/stream/", { method: "POST", headers });
--- a/packages/gateway/test/request_task_test.ts
+++ b/packages/gateway/test/request_task_test.ts
@@ -1,10 +1,10 @@
 import { ServerLimits } from "@sycamorepulley/decisions";
 import type { ServerRecord } from "@sycamorepulley/decisions";
 import t from "tap";
-import type { Call } from "../src/front/call.ts";
+import type { Call } from "../src/front/parsed_request.ts";
 import type { Caller } from "../src/request/caller.ts";
 import type { RequestContext } from "../src/request/request_context.ts";
-import { Closing } from "../src/request/closing.ts";
+import { DrainAdmission } from "../src/request/drain_admission.ts";
 import { RequestTask } from "../src/request/request_task.ts";
 import { route } from "./fixture.ts";
 
@@ -27,7 +27,7 @@
   const withdrawn: string[] = [];
   const refused: number[] = [];
   const context = {
-    names: { request: "x-request" },
+    headerNames: { requestId: "x-request" },
     clock: () => now,
     random: () => 0,
     log: { write: () => {} },
@@ -35,21 +35,21 @@
       waited: { observe: () => {} },
       refusals: { inc: () => {} },
     },
-    closing: new Closing(),
-    granter: {
-      ask: () => {
+    drainAdmission: new DrainAdmission(),
+    grantClient: {
+      submit: () => {
         const grant = { kind: "grant", server: "s1@1", by: "entry-1" };
-        const answer = Promise.resolve(grant).then((grant) => {
+        const result = Promise.resolve(grant).then((grant) => {
           now = 2000;
           return grant;
         });
-        return { id: "ask-1", answer };
+        return { id: "ask-1", result };
       },
       withdraw: (id: string) => withdrawn.push(id),
       limits: { known: new ServerLimits() },
     },
-    inForce: () => undefined,
-    server: () => SERVER,
+    activeConfiguration: () => undefined,
+    findServer: () => SERVER,
   } as unknown as RequestContext;
   const caller = {
     left: false,
@@ -65,7 +65,7 @@
     routeRank: 0,
     cost: { promptTokens: 0, outputTokens: 1 },
     charge: 0,
-    limitAt: 1000,
+    deadline: 1000,
   };
   await new RequestTask({ context, call, resolved, caller, body: undefined })
     .run();
--- a/packages/gateway/test/retry_budgets_test.ts
+++ b/packages/gateway/test/retry_budgets_test.ts
@@ -1,5 +1,5 @@
 import t from "tap";
-import { retryBudgets } from "../src/request/retry_budgets.ts";
+import { createRetryBudgets } from "../src/request/retry_budgets.ts";
 
 const BOUNDS = {
   gracePeriodSeconds: 8,
@@ -14,7 +14,7 @@
 t.test("an entry's part of the resends follows the size of the fleet", (t) => {
   // Counted once, by an entry that knew no other yet, it stayed the whole.
   let entries = 1;
-  const takeResend = retryBudgets(() => BOUNDS, () => entries);
+  const takeResend = createRetryBudgets(() => BOUNDS, () => entries);
   const allowed = (now: number) => {
     let count = 0;
     while (takeResend("calls", now)) count++;
--- a/packages/gateway/test/server_limit_test.ts
+++ b/packages/gateway/test/server_limit_test.ts
@@ -1,8 +1,8 @@
 import { MemoryMetadataStore } from "@sycamorepulley/store";
 import t from "tap";
-import { configuration, Fixture } from "./fixture.ts";
-import { sealed } from "./stand_in_server.ts";
-import type { StandInServer } from "./stand_in_server.ts";
+import { Fixture, storedConfiguration } from "./fixture.ts";
+import { writeSealedHead } from "./fake_backend_server.ts";
+import type { FakeBackendServer } from "./fake_backend_server.ts";
 
 /** Requests a second that the server states. */
 const LIMIT = 4;
@@ -13,11 +13,13 @@
 const GRACE = 500;
 
 /** Times at which a server that states `limit` was sent requests. */
-function limited(server: StandInServer, limit: () => string): number[] {
+function limited(server: FakeBackendServer, limit: () => string): number[] {
   const sent: number[] = [];
-  server.answer = (response, received) => {
+  server.respond = (response, received) => {
     sent.push(performance.now());
-    sealed(response, received, { "x-server-limit": limit() }).end("ok");
+    writeSealedHead(response, received, { "x-server-limit": limit() }).end(
+      "ok",
+    );
   };
   return sent;
 }
@@ -40,12 +42,12 @@
 
 t.test("a server that states a limit is sent no more by all entries", async (t) => {
   const store = new MemoryMetadataStore();
-  store.put("configuration", configuration(1));
+  store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store });
   const { servers } = first;
   const second = await Fixture.start({ store, servers, instance: "entry-2" });
   const entries = [first, second];
-  for (const entry of entries) await entry.untilReady();
+  for (const entry of entries) await entry.waitUntilReady();
   const sent = servers.map((server) => limited(server, () => String(LIMIT)));
   await press(entries, 2 * WINDOW + GRACE);
   for (const most of sent.map(largestWindow)) {
@@ -67,14 +69,14 @@
 
 t.test("a limit holds when the entry that grants is lost", async (t) => {
   const store = new MemoryMetadataStore();
-  store.put("configuration", configuration(1));
+  store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store });
   const { servers } = first;
   const entries = [first];
   for (const instance of ["entry-2", "entry-3"]) {
     entries.push(await Fixture.start({ store, servers, instance }));
   }
-  for (const entry of entries) await entry.untilReady();
+  for (const entry of entries) await entry.waitUntilReady();
   const sent = servers.map((server) => limited(server, () => String(LIMIT)));
   await press(entries, WINDOW);
   const last = entries.at(-1)!.events
--- a/packages/gateway/test/state_lines_test.ts
+++ b/packages/gateway/test/state_lines_test.ts
@@ -1,9 +1,9 @@
 import { MemoryMetadataStore } from "@sycamorepulley/store";
 import t from "tap";
-import { configuration, Fixture, until } from "./fixture.ts";
+import { Fixture, storedConfiguration, waitUntil } from "./fixture.ts";
 
 t.test("a grant's line says whose quota is charged, and how much", async (t) => {
-  const fixture = await Fixture.ready();
+  const fixture = await Fixture.startReady();
   await fixture.call("/calls/", { headers: { "x-tokens": "90,10" } });
   const line = fixture.events.find(({ message }) => message === "granted");
   t.match(line?.context, { organisation: "firm", charge: 100 });
@@ -12,11 +12,11 @@
 
 t.test("lines tell of calls to the store that failed, and of state asked for", async (t) => {
   const store = new MemoryMetadataStore();
-  store.put("configuration", configuration(1));
+  store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store, instance: "entry-1" });
-  await first.untilReady();
+  await first.waitUntilReady();
   const second = await Fixture.startTurnedAway(first);
-  t.ok(await until(async () => await second.readiness() === 200));
+  t.ok(await waitUntil(async () => await second.readiness() === 200));
   const lines = (name: string) =>
     second.events.filter(({ message }) => message === name)
       .map(({ context }) => context);
--- a/packages/gateway/test/state_transfer_test.ts
+++ b/packages/gateway/test/state_transfer_test.ts
@@ -1,6 +1,6 @@
 import { MemoryMetadataStore } from "@sycamorepulley/store";
 import t from "tap";
-import { configuration, Fixture, route, until } from "./fixture.ts";
+import { Fixture, route, storedConfiguration, waitUntil } from "./fixture.ts";
 import { ThinLink } from "./thin_link.ts";
 
 const LARGE = Array.from(
@@ -12,7 +12,7 @@
 t.test("an entry on a thin link is sent one copy of a newer configuration", async (t) => {
   // Every heartbeat of a newer version asked for all of it, of each peer.
   const store = new MemoryMetadataStore();
-  store.put("configuration", configuration(1));
+  store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store, instance: "entry-1" });
   const { servers } = first;
   const entries = [first];
@@ -33,17 +33,17 @@
     port: await link.start(),
   };
   store.put("sycamorepulley/entries/entry-9", JSON.stringify(member));
-  t.ok(await until(async () => await behind.readiness() === 200));
+  t.ok(await waitUntil(async () => await behind.readiness() === 200));
   const lost = () =>
     behind.events.filter(({ message, context }) =>
       message === "dependency_lost" && context["dependency"] !== "store"
     ).length;
   const lostBefore = lost();
   const before = link.relayed;
-  const large = configuration(2, LARGE);
+  const large = storedConfiguration(2, LARGE);
   store.put("configuration", large);
   const path = "/large-0/";
-  t.ok(await until(async () => (await behind.call(path)).status === 200));
+  t.ok(await waitUntil(async () => (await behind.call(path)).status === 200));
   // What was sent beside it is on its way still.
   await new Promise((resolve) => setTimeout(resolve, 1000));
   const copies = (link.relayed - before) / large.length;
--- a/packages/gateway/test/watch_rest_test.ts
+++ b/packages/gateway/test/watch_rest_test.ts
@@ -7,7 +7,7 @@
   PrefixListener,
 } from "../src/state/prefix_follower.ts";
 import { StoreContact } from "../src/state/store_contact.ts";
-import { Recorded } from "./recorded.ts";
+import { RecordingSink } from "./recording_sink.ts";
 
 class CountingStore extends MemoryMetadataStore {
   watches = 0;
@@ -38,7 +38,11 @@
 async function countWatches(delay: number): Promise<number> {
   const store = new CountingStore();
   const clock = () => performance.now();
-  const log = new EventLog({ instance: "entry", sink: new Recorded(), clock });
+  const log = new EventLog({
+    instance: "entry",
+    sink: new RecordingSink(),
+    clock,
+  });
   const listener = new KeyListener();
   const stopped = new AbortController();
   const follower = new PrefixFollower({
