--- a/packages/decisions/src/discovery/mod.ts
+++ b/packages/decisions/src/discovery/mod.ts
@@ -1,4 +1,4 @@
-/** The backend servers that may be sent work. @module */
+/** Directory of the backend servers that may be sent requests. @module */
 export { ServerDirectory } from "./server_directory.ts";
 export { incarnationOf } from "./server_record.ts";
 export type { ServerRecord } from "./server_record.ts";
--- a/packages/decisions/src/discovery/server_directory.ts
+++ b/packages/decisions/src/discovery/server_directory.ts
@@ -1,65 +1,74 @@
 /**
- * Which backend servers may be sent work, from the store's records of them.
+ * Tracks which backend servers may be sent requests, from their records in the
+ * store.
  *
- * Records are bound to leases and may lapse while the store is away, although
- * their servers live on. So a record that vanishes around an outage is kept until
- * its server has had the time to register again; one that vanishes in quiet times
- * is dropped at once, since its server is gone or leaving.
+ * Each record is bound to a lease and may expire during an outage of the store
+ * although its server is alive. A record that disappears around an outage is
+ * therefore retained until its server has had time to register again. A record
+ * that disappears at any other time is removed at once, since its server has
+ * stopped or is about to.
  *
- * A server that crashes may be back at its address under another id before its
- * old record has lapsed. Whoever started last at an address is the only one there;
- * it would reject what is meant for the one before.
+ * A server that crashes may be back at its address under a new id before its
+ * old record has expired. Only the server that started last at an address can
+ * be running; it rejects requests meant for an earlier one.
  * @module
  */
 import { incarnationOf } from "./server_record.ts";
 import type { ServerRecord } from "./server_record.ts";
 
 /**
- * Milliseconds after the store's return within which a live server is back in
- * it, as the platform states.
+ * Milliseconds after an outage within which every live server has registered
+ * again, as the platform guarantees.
  */
-const REGISTER_AGAIN_WITHIN = 2000;
+const REREGISTRATION_TIME = 2000;
 /**
- * Milliseconds without an answer of the store, with a failed call among them, that
- * count as an outage. Leases are renewed once a second.
+ * Milliseconds without a response of the store, with at least one failed call
+ * among them, that count as an outage. Leases are renewed once a second.
  */
-const OUTAGE_AFTER = 1500;
+const OUTAGE_THRESHOLD = 1500;
 
-/** Records by id, with those that lapsed in an outage kept for a while. */
+/** Server records by id, including those retained after an outage. */
 export class ServerDirectory {
   #records = new Map<string, ServerRecord>();
-  /** Ids that vanished around an outage, with the time at which they are dropped. */
-  readonly #lapsed = new Map<string, number>();
-  #heardAt: number | undefined;
-  /** A call to the store has failed since it answered last. */
-  #failed = false;
+  /**
+   * Ids that disappeared around an outage, with the time at which they are
+   * removed.
+   */
+  readonly #retainedUntil = new Map<string, number>();
+  #lastResponseAt: number | undefined;
+  /** A call to the store has failed since its last response. */
+  #callFailed = false;
   #outageEndedAt = -Infinity;
   #revision = 0;
-  /** The last to start at each address; `undefined` after a change. */
-  #newest: Map<string, ServerRecord> | undefined;
+  /**
+   * The server that started last at each address; `undefined` after a change.
+   */
+  #newestByAddress: Map<string, ServerRecord> | undefined;
 
-  /** Store revision of the newest change, or of a complete read, taken in. */
+  /** Store revision of the newest change or complete read that was applied. */
   get revision(): number {
     return this.#revision;
   }
 
   /**
-   * States that the store answered; notices the end of an outage. A watch that had
-   * nothing to tell for long is none.
+   * Records a response of the store and detects the end of an outage. A watch
+   * that returned nothing for a long time is not an outage.
    */
   recordStoreResponse(now: number): void {
-    const silence = now - (this.#heardAt ?? now);
-    if (this.#failed && silence > OUTAGE_AFTER) this.#outageEndedAt = now;
-    this.#heardAt = now;
-    this.#failed = false;
+    const silence = now - (this.#lastResponseAt ?? now);
+    if (this.#callFailed && silence > OUTAGE_THRESHOLD) {
+      this.#outageEndedAt = now;
+    }
+    this.#lastResponseAt = now;
+    this.#callFailed = false;
   }
 
-  /** States that a call to the store failed. */
+  /** Records a failed call to the store. */
   recordStoreFailure(): void {
-    this.#failed = true;
+    this.#callFailed = true;
   }
 
-  /** Replaces all records by what a complete read found. */
+  /** Replaces all records with the result of a complete read. */
   replace(
     records: readonly ServerRecord[],
     revision: number,
@@ -67,84 +76,87 @@
   ): void {
     const found = new Map(records.map((record) => [record.id, record]));
     for (const [id, record] of this.#records) {
-      if (!found.has(id) && this.#keepLapsed(id, now)) found.set(id, record);
+      if (!found.has(id) && this.#retain(id, now)) found.set(id, record);
     }
-    for (const record of records) this.#lapsed.delete(record.id);
+    for (const record of records) this.#retainedUntil.delete(record.id);
     this.#records = found;
-    this.#newest = undefined;
+    this.#newestByAddress = undefined;
     this.#revision = Math.max(this.#revision, revision);
   }
 
-  /** Takes in one written record; `undefined` for one that can't be read. */
+  /** Applies a written record; `undefined` for one that can't be decoded. */
   put(id: string, record: ServerRecord | undefined, now: number): void {
-    this.#lapsed.delete(id);
+    this.#retainedUntil.delete(id);
     if (record === undefined) {
       this.remove(id, now);
       return;
     }
     this.#records.set(id, record);
-    this.#newest = undefined;
+    this.#newestByAddress = undefined;
   }
 
-  /** Takes in that a record is gone. */
+  /** Applies the removal of a record. */
   remove(id: string, now: number): void {
     if (!this.#records.has(id)) return;
-    if (this.#keepLapsed(id, now)) return;
+    if (this.#retain(id, now)) return;
     this.#records.delete(id);
-    this.#newest = undefined;
+    this.#newestByAddress = undefined;
   }
 
-  /** States that all changes up to `revision` were taken in. */
+  /** Records that all changes up to `revision` were applied. */
   advance(revision: number): void {
     this.#revision = Math.max(this.#revision, revision);
   }
 
-  /** Every server that may be sent work now. */
+  /** Returns all servers that may be sent requests now. */
   usable(now: number): ServerRecord[] {
     const usable: ServerRecord[] = [];
     for (const [id, record] of this.#records) {
-      const droppedAt = this.#lapsed.get(id);
-      if (droppedAt !== undefined && now >= droppedAt) {
+      const removeAt = this.#retainedUntil.get(id);
+      if (removeAt !== undefined && now >= removeAt) {
         this.#records.delete(id);
-        this.#lapsed.delete(id);
-        this.#newest = undefined;
+        this.#retainedUntil.delete(id);
+        this.#newestByAddress = undefined;
         continue;
       }
-      if (!record.draining && !this.#superseded(record)) usable.push(record);
+      if (!record.draining && !this.#isSuperseded(record)) usable.push(record);
     }
     return usable;
   }
 
-  /** The record of an id, also of a server that is draining. */
+  /** Returns the record with this id, also if its server is draining. */
   find(id: string): ServerRecord | undefined {
     return this.#records.get(id);
   }
 
-  /** All records, for a peer that can't reach the store. */
+  /** Returns all records, for a peer that can't reach the store. */
   all(): ServerRecord[] {
     return [...this.#records.values()];
   }
 
-  /** True while this very start of the server is registered and not leaving. */
+  /**
+   * Whether this start of the server is still registered, not draining and the
+   * last one at its address.
+   */
   mayUse(record: ServerRecord): boolean {
     const current = this.#records.get(record.id);
     return current !== undefined && !current.draining &&
       incarnationOf(current) === incarnationOf(record) &&
-      !this.#superseded(current);
+      !this.#isSuperseded(current);
   }
 
-  #superseded(record: ServerRecord): boolean {
-    this.#newest ??= newestByAddress(this.#records.values());
-    const newest = this.#newest.get(addressOf(record));
+  #isSuperseded(record: ServerRecord): boolean {
+    this.#newestByAddress ??= newestByAddress(this.#records.values());
+    const newest = this.#newestByAddress.get(addressOf(record));
     return newest !== undefined && newest.startedAt > record.startedAt;
   }
 
-  #keepLapsed(id: string, now: number): boolean {
-    const droppedAt = this.#lapsed.get(id);
-    if (droppedAt !== undefined) return now < droppedAt;
+  #retain(id: string, now: number): boolean {
+    const removeAt = this.#retainedUntil.get(id);
+    if (removeAt !== undefined) return now < removeAt;
     const since = now - this.#outageEndedAt;
-    if (since >= REGISTER_AGAIN_WITHIN) return false;
-    this.#lapsed.set(id, this.#outageEndedAt + REGISTER_AGAIN_WITHIN);
+    if (since >= REREGISTRATION_TIME) return false;
+    this.#retainedUntil.set(id, this.#outageEndedAt + REREGISTRATION_TIME);
     return true;
   }
 }
--- a/packages/decisions/src/discovery/server_record.ts
+++ b/packages/decisions/src/discovery/server_record.ts
@@ -1,24 +1,26 @@
-/** What a backend server says of itself in the store. @module */
+/** A backend server as it is registered in the store. @module */
 
-/** One registered start of one backend server. */
+/** One start of a backend server. */
 export type ServerRecord = {
-  /** Names the server; a restart may take the same one again. */
+  /** Id of the server; a restarted server may use the same one. */
   id: string;
-  /** Unix milliseconds of its start: tells restarts under one id apart. */
+  /**
+   * Start time in Unix milliseconds; distinguishes restarts with the same id.
+   */
   startedAt: number;
   service: string;
   host: string;
   port: number;
   dataCentre: string;
-  /** Version of its software. */
+  /** Version of the server's software. */
   version: string;
-  /** Requests that it runs at once. */
+  /** Maximum number of requests that it runs concurrently. */
   slots: number;
-  /** It finishes what runs and takes no new work. */
+  /** Finishes its running requests and accepts no new ones. */
   draining: boolean;
 };
 
-/** Unlike for two starts, even under one id or at one address. */
+/** Key that differs for every start, even with the same id or address. */
 export function incarnationOf(record: ServerRecord): string {
   return `${record.id}@${record.startedAt}`;
 }
--- a/packages/decisions/test/server_record.ts
+++ b/packages/decisions/test/server_record.ts
@@ -1,6 +1,6 @@
 import type { ServerRecord } from "../src/mod.ts";
 
-/** A backend server's record, changed where a test needs it. */
+/** Returns a backend server's record with the given changes. */
 export function serverRecord(
   id: string,
   changes: Partial<ServerRecord> = {},
