--- a/packages/decisions/src/lifecycle/process_lifecycle.ts
+++ b/packages/decisions/src/lifecycle/process_lifecycle.ts
@@ -1,14 +1,17 @@
 /**
- * The life of a daemon. A second signal to stop finds no transition, so it
- * can't cut a graceful shutdown short.
+ * Lifecycle of a process. A second stop signal has no transition, so it can't
+ * interrupt a graceful shutdown.
  * @module
  */
 import { robot } from "./robot.ts";
 
-/** Where a process stands. `leaving`: no new work, running work finishes. */
+/**
+ * State of a process. In `leaving` it accepts no new requests and finishes the
+ * running ones.
+ */
 export type ProcessState = "starting" | "ready" | "leaving" | "stopped";
 
-/** What moves a process from one state to the next. */
+/** Events that cause a transition. */
 export type ProcessEvent = "started" | "stop" | "drained";
 
 const { createMachine, interpret, state, transition } = robot;
@@ -23,7 +26,7 @@
   stopped: state(),
 });
 
-/** One process's state and its legal changes. */
+/** The state of one process and its permitted transitions. */
 export class ProcessLifecycle {
   readonly #service = interpret(machine, () => {});
 
@@ -31,7 +34,9 @@
     return this.#service.machine.current as ProcessState;
   }
 
-  /** Applies `event`; false, and no change, where the state does not allow it. */
+  /**
+   * Applies `event`; false, without a change, if the state does not permit it.
+   */
   apply(event: ProcessEvent): boolean {
     const before = this.state;
     this.#service.send(event);
--- a/packages/decisions/src/lifecycle/request_lifecycle.ts
+++ b/packages/decisions/src/lifecycle/request_lifecycle.ts
@@ -1,12 +1,12 @@
 /**
- * The life of one request at its entry. Only `waiting` has a way to
+ * Lifecycle of one request at its entry. Only `waiting` has a transition to
  * `handedOver`, and no state leads back to `waiting`: a request is dispatched
- * at most once whatever order grants, refusals and lost links come in.
+ * at most once, in whatever order grants, refusals and lost links occur.
  * @module
  */
 import { robot } from "./robot.ts";
 
-/** Where a request stands; the last four are final. */
+/** State of a request; the last four are final. */
 export type RequestState =
   | "waiting"
   | "handedOver"
@@ -16,7 +16,7 @@
   | "failed"
   | "abandoned";
 
-/** What can happen to a request. `abandon`: its caller left. */
+/** Events of a request. `abandon`: its caller disconnected. */
 export type RequestEvent =
   | "handOver"
   | "refuse"
@@ -56,7 +56,7 @@
   "abandoned",
 ]);
 
-/** One request's state and its legal changes. */
+/** The state of one request and its permitted transitions. */
 export class RequestLifecycle {
   readonly #service = interpret(machine, () => {});
 
@@ -68,7 +68,9 @@
     return FINAL_STATES.has(this.state);
   }
 
-  /** Applies `event`; false, and no change, where the state does not allow it. */
+  /**
+   * Applies `event`; false, without a change, if the state does not permit it.
+   */
   apply(event: RequestEvent): boolean {
     const before = this.state;
     this.#service.send(event);
--- a/packages/decisions/src/lifecycle/stream_duration_bound.ts
+++ b/packages/decisions/src/lifecycle/stream_duration_bound.ts
@@ -1,51 +1,58 @@
 /**
- * How long a stream may take beyond what was estimated.
+ * Estimates an upper bound of a stream's duration.
  *
- * An entry that stops may only take a stream that surely ends before its own
- * process does. Callers' estimates are right at the median and often far off, so
- * it goes by the longest streams, for their estimated length, that it has seen.
+ * An entry that is draining may only accept a stream that certainly ends before
+ * the entry's process does. Callers' estimates of a stream's length are right
+ * at the median and often far off. The bound is therefore taken from the
+ * streams that lasted longest relative to their estimated length.
  * @module
  */
 import type { Cost } from "../queueing/mod.ts";
 
 /**
- * Milliseconds that a stream takes for each token of its estimated length, at
- * most, before any was seen.
+ * Upper bound in milliseconds for each token of the estimated length, before
+ * enough streams were observed.
+ */
+const INITIAL_TIME_PER_TOKEN = 50;
+/**
+ * Milliseconds to the first token and for all else that does not depend on the
+ * length.
  */
-const FIRST_LONGEST = 50;
-/** Milliseconds to a first token and for all that is not proportional. */
 const FIXED_TIME = 600;
-/** Estimates shorter than this many tokens count as this many. */
-const LEAST_TOKENS = 10;
-/** Streams over which the longest is remembered. */
-const REMEMBERED = 500;
-/** Margin over the longest that was seen. */
-const MARGIN = 1.3;
+/** Minimum estimated length in tokens; shorter estimates count as this. */
+const MINIMUM_TOKENS = 10;
+/** Number of latest streams that are taken into account. */
+const WINDOW_SIZE = 500;
+/** Factor between the longest observed duration and the bound. */
+const SAFETY_FACTOR = 1.3;
 
-/** Learns how much longer than estimated streams take. */
+/** Learns by how much streams exceed their estimated length. */
 export class StreamDurationBound {
-  readonly #seen: number[] = [];
+  readonly #timesPerToken: number[] = [];
   #next = 0;
 
-  /** A stream whose length was estimated took `measured` milliseconds in all. */
-  observe(cost: Cost, measured: number): void {
+  /**
+   * Records that a stream took `duration` milliseconds; one without an
+   * estimated length is ignored.
+   */
+  observe(cost: Cost, duration: number): void {
     if (cost.promptTokens === 0) return;
-    this.#seen[this.#next] = Math.max(0, measured - FIXED_TIME) /
+    this.#timesPerToken[this.#next] = Math.max(0, duration - FIXED_TIME) /
       tokensOf(cost);
-    this.#next = (this.#next + 1) % REMEMBERED;
+    this.#next = (this.#next + 1) % WINDOW_SIZE;
   }
 
-  /** Milliseconds that hardly any stream of this cost exceeds. */
+  /** Returns the milliseconds that hardly any stream of this cost exceeds. */
   upperBound(cost: Cost): number {
-    return FIXED_TIME + this.#perToken() * tokensOf(cost);
+    return FIXED_TIME + this.#timePerTokenBound() * tokensOf(cost);
   }
 
-  #perToken(): number {
-    if (this.#seen.length < REMEMBERED) return FIRST_LONGEST;
-    return Math.max(...this.#seen) * MARGIN;
+  #timePerTokenBound(): number {
+    if (this.#timesPerToken.length < WINDOW_SIZE) return INITIAL_TIME_PER_TOKEN;
+    return Math.max(...this.#timesPerToken) * SAFETY_FACTOR;
   }
 }
 
 function tokensOf(cost: Cost): number {
-  return Math.max(LEAST_TOKENS, cost.outputTokens);
+  return Math.max(MINIMUM_TOKENS, cost.outputTokens);
 }
--- a/packages/decisions/src/retries/retry_budget.ts
+++ b/packages/decisions/src/retries/retry_budget.ts
@@ -1,25 +1,25 @@
 /**
- * Bounds how often the placements of one service are repeated.
+ * Limits the retries of the placements of one service.
  *
- * Answers trouble that would multiply: when sidecars refuse or die, each
- * request places again, the survivors get several times the traffic and refuse
- * as well. A budget tied to what succeeds lets a few servers fail unnoticed and
- * falls silent by itself when most fail. One budget per service, so that one
- * service's trouble spends nothing of another's. Only placements are repeated;
- * a request that was handed over never is.
+ * Guards against retry storms: when sidecars refuse or fail, each request is
+ * placed again, the remaining sidecars get several times the traffic and refuse
+ * as well. A budget tied to successes covers the failure of a few servers, and
+ * stops retries when most servers fail. Each service has its own budget, so
+ * that failures of one service don't use up the retries of another. Only
+ * placements are retried; a request that was sent to a server never is.
  *
- * Figures: a tenth of the granted requests may be placed again, so trouble adds
- * at most 10 % to the load; 2 a second go free, so that a service with little
- * traffic still survives the loss of a server; 50 can be saved up, which covers
- * what one server of a busy service holds when it dies.
+ * A tenth of the granted requests may be placed again, so retries add at most
+ * 10 % to the load. Another 2 a second are always available, so that a service
+ * with little traffic survives the loss of a server. Up to 50 can be saved,
+ * which covers what one server of a busy service holds when it fails.
  * @module
  */
 
-const SHARE_OF_SUCCESSES = 0.1;
-const FREE_PER_SECOND = 2;
-const LARGEST_BALANCE = 50;
+const RETRIES_PER_SUCCESS = 0.1;
+const REFILL_PER_SECOND = 2;
+const CAPACITY = 50;
 
-/** What a budget lets through. */
+/** Settings of a budget. */
 export type RetryBudgetOptions = {
   /** Retries earned by each success. */
   retriesPerSuccess?: number | undefined;
@@ -27,56 +27,59 @@
   capacity?: number | undefined;
 };
 
-/** A token bucket filled by successes. */
+/** A token bucket that is filled by successes and over time. */
 export class RetryBudget {
-  #share = SHARE_OF_SUCCESSES;
-  #freePerSecond = FREE_PER_SECOND;
-  #largest = LARGEST_BALANCE;
+  #retriesPerSuccess = RETRIES_PER_SUCCESS;
+  #refillPerSecond = REFILL_PER_SECOND;
+  #capacity = CAPACITY;
   #balance: number;
-  #filledAt = -Infinity;
+  #refilledAt = -Infinity;
 
   constructor(options: RetryBudgetOptions = {}) {
-    this.#use(options);
-    this.#balance = this.#largest;
+    this.#applyOptions(options);
+    this.#balance = this.#capacity;
   }
 
-  /** Changes the bounds from `now` on; a balance above the largest is lost. */
+  /**
+   * Changes the options from `now` on; tokens beyond the new capacity are
+   * dropped.
+   */
   configure(options: RetryBudgetOptions, now: number): void {
-    this.#fill(now);
-    this.#use(options);
-    this.#balance = Math.min(this.#balance, this.#largest);
+    this.#refill(now);
+    this.#applyOptions(options);
+    this.#balance = Math.min(this.#balance, this.#capacity);
   }
 
-  /** Takes one retry; false when the budget is spent. */
+  /** Takes one retry; false when the budget is exhausted. */
   tryTake(now: number): boolean {
-    this.#fill(now);
+    this.#refill(now);
     if (this.#balance < 1) return false;
     this.#balance--;
     return true;
   }
 
-  /** States that a request was granted. */
+  /** Records that a request was granted. */
   recordSuccess(now: number): void {
-    this.#fill(now);
-    this.#deposit(this.#share);
+    this.#refill(now);
+    this.#deposit(this.#retriesPerSuccess);
   }
 
-  #use(options: RetryBudgetOptions): void {
-    this.#share = options.retriesPerSuccess ?? SHARE_OF_SUCCESSES;
-    this.#freePerSecond = options.refillPerSecond ?? FREE_PER_SECOND;
-    this.#largest = options.capacity ?? LARGEST_BALANCE;
+  #applyOptions(options: RetryBudgetOptions): void {
+    this.#retriesPerSuccess = options.retriesPerSuccess ?? RETRIES_PER_SUCCESS;
+    this.#refillPerSecond = options.refillPerSecond ?? REFILL_PER_SECOND;
+    this.#capacity = options.capacity ?? CAPACITY;
   }
 
-  #fill(now: number): void {
-    const elapsed = now - this.#filledAt;
+  #refill(now: number): void {
+    const elapsed = now - this.#refilledAt;
     if (elapsed <= 0) return;
-    this.#filledAt = now;
+    this.#refilledAt = now;
     if (elapsed < Infinity) {
-      this.#deposit(elapsed / 1000 * this.#freePerSecond);
+      this.#deposit(elapsed / 1000 * this.#refillPerSecond);
     }
   }
 
   #deposit(amount: number): void {
-    this.#balance = Math.min(this.#balance + amount, this.#largest);
+    this.#balance = Math.min(this.#balance + amount, this.#capacity);
   }
 }
--- a/packages/decisions/src/routing/route.ts
+++ b/packages/decisions/src/routing/route.ts
@@ -1,18 +1,18 @@
-/** What a route says about the requests it matches. @module */
+/** The configuration of a route. @module */
 
-/** Whether a request may reach backend servers more than once. */
+/** Whether a request may be sent to backend servers more than once. */
 export type Repeatability =
-  /** Running it twice changes nothing. */
+  /** Repeated execution has no further effect. */
   | "idempotent"
-  /** Runs once at most. */
+  /** Executed at most once. */
   | "non_idempotent"
-  /** A stream of events; once at most, unless it can be resumed. */
+  /** An event stream; executed at most once unless it can be resumed. */
   | "streaming";
 
-/** One way from a route to a service; weights are relative. */
+/** A service that receives a route's requests; weights are relative. */
 export type RouteTarget = { service: string; weight: number };
 
-/** Requests of one host below one path prefix. */
+/** A route matches the requests to one host below one path prefix. */
 export type Route = {
   name: string;
   host: string;
@@ -20,23 +20,26 @@
   prefix: string;
   repeatability: Repeatability;
   targets: readonly RouteTarget[];
-  /** Longest that a caller is kept, in milliseconds from its arrival. */
+  /**
+   * Maximum milliseconds that a caller is kept waiting, from the arrival of its
+   * request.
+   */
   timeout: number;
-  /** Milliseconds within which the (first) answer is on time. */
+  /** Milliseconds within which the response should start. */
   latencyGoal: number;
-  /** 0 is served first. */
+  /** Priority tier; 0 is served first. */
   tierRank: number;
-  /** Most backend servers that one request may be sent to. */
+  /** Maximum number of backend servers that one request may be sent to. */
   maximumServers: number;
-  /** No credential is asked for. */
+  /** No credential is required. */
   allowsAnonymous: boolean;
-  /** An interrupted stream may go on at another backend server. */
+  /** An interrupted stream may be continued by another backend server. */
   resumable: boolean;
-  /** Longest pause between events that is still on time, in milliseconds. */
+  /** Maximum milliseconds that should pass between two events of a stream. */
   pauseGoal: number | undefined;
 };
 
-/** True when sending a request a second time can do no harm. */
+/** Whether a request may safely be sent a second time. */
 export function isRepeatable(route: Route): boolean {
   return route.repeatability === "idempotent" ||
     (route.repeatability === "streaming" && route.resumable);
--- a/packages/decisions/src/routing/route_table.ts
+++ b/packages/decisions/src/routing/route_table.ts
@@ -1,7 +1,7 @@
 /**
- * Finds the route of a request: its host, then the longest prefix of its path.
- * Built once for each configuration; a look-up costs one map access for each
- * segment of the path, however many routes there are.
+ * Finds the route of a request by its host and the longest matching prefix of
+ * its path. The table is built once for each configuration; a look-up costs one
+ * map access for each segment of the path, regardless of the number of routes.
  * @module
  */
 import type { Route } from "./route.ts";
@@ -22,7 +22,10 @@
     }
   }
 
-  /** The route of `target` (path and query) at `host` (a port is ignored). */
+  /**
+   * Returns the route for `target` (path and query) at `host`; a port in the
+   * host is ignored.
+   */
   find(host: string, target: string): Route | undefined {
     const prefixes = this.#hosts.get(hostName(host));
     if (prefixes === undefined) return undefined;
@@ -38,7 +41,10 @@
   }
 }
 
-/** The service of a request: `draw` in [0, 1) picks among the targets by weight. */
+/**
+ * Selects the service of a request among the targets by weight; `draw` is a
+ * random number in [0, 1).
+ */
 export function chooseService(route: Route, draw: number): string | undefined {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
   let rest = draw * total;
--- a/packages/decisions/test/request_lifecycle_test.ts
+++ b/packages/decisions/test/request_lifecycle_test.ts
@@ -2,8 +2,7 @@
 import { ProcessLifecycle, RequestLifecycle } from "../src/mod.ts";
 
 t.test("a request is handed over at most once", (t) => {
-  // Two sidecars grant at the same time; the entry answers the first. Were
-  // the second answered too, the request would run twice.
+  // If two sidecars grant at the same time, the request must not run twice.
   const lifecycle = new RequestLifecycle();
   t.equal(lifecycle.apply("handOver"), true);
   t.equal(lifecycle.apply("handOver"), false);
@@ -12,7 +11,7 @@
   t.end();
 });
 
-t.test("nothing follows a final state", (t) => {
+t.test("a final state has no transitions", (t) => {
   const lifecycle = new RequestLifecycle();
   lifecycle.apply("refuse");
   t.ok(lifecycle.final);
@@ -20,7 +19,7 @@
   t.end();
 });
 
-t.test("a second stop changes nothing", (t) => {
+t.test("a second stop event is ignored", (t) => {
   const lifecycle = new ProcessLifecycle();
   lifecycle.apply("started");
   t.equal(lifecycle.apply("stop"), true);
--- a/packages/decisions/test/retries_test.ts
+++ b/packages/decisions/test/retries_test.ts
@@ -2,10 +2,8 @@
 import t from "tap";
 import { backoff, RetryBudget } from "../src/mod.ts";
 
-t.test("a window's retries never exceed what the budget holds", (t) => {
-  // Every sidecar refuses, each request places again, and the refusals grow
-  // with the retries: the service takes several times its traffic and stays
-  // down. The budget bounds the retries of any window.
+t.test("the retries in any time window stay within the budget", (t) => {
+  // When every sidecar refuses, unlimited retries would keep the service down.
   const steps = fc.array(
     fc.record({
       wait: fc.integer({ min: 0, max: 400 }),
@@ -49,7 +47,7 @@
   t.end();
 });
 
-t.test("a spent budget recovers with successes", (t) => {
+t.test("successes refill an exhausted budget", (t) => {
   const budget = new RetryBudget({ capacity: 1, refillPerSecond: 0 });
   t.ok(budget.tryTake(0));
   t.notOk(budget.tryTake(1));
@@ -58,7 +56,7 @@
   t.end();
 });
 
-t.test("backoff doubles, is spread and has a longest wait", (t) => {
+t.test("backoff doubles up to a maximum and has jitter", (t) => {
   t.equal(backoff(0, () => 0), 2.5);
   t.equal(backoff(2, () => 0), 10);
   t.equal(backoff(2, () => 0.5), 15);
--- a/packages/decisions/test/routing_test.ts
+++ b/packages/decisions/test/routing_test.ts
@@ -19,7 +19,7 @@
   };
 }
 
-t.test("the longest prefix of the path wins", (t) => {
+t.test("the longest matching prefix selects the route", (t) => {
   const table = new RouteTable([route("/"), route("/a/"), route("/a/b/")]);
   t.equal(table.find("a.example", "/a/b/c")?.name, "/a/b/");
   t.equal(table.find("a.example", "/a/c")?.name, "/a/");
@@ -28,7 +28,7 @@
   t.end();
 });
 
-t.test("a prefix matches whole segments of its own host only", (t) => {
+t.test("a prefix matches whole path segments of its own host only", (t) => {
   const table = new RouteTable([route("/a/")]);
   t.equal(table.find("a.example", "/ab/"), undefined);
   t.equal(table.find("a.example", "/a"), undefined);
--- a/packages/decisions/test/longest_streams_test.ts
+++ b/packages/decisions/test/stream_duration_bound_test.ts
@@ -3,11 +3,10 @@
 
 const cost = (outputTokens: number) => ({ promptTokens: 600, outputTokens });
 
-t.test("a stream's bound is that of the longest seen for their estimates", (t) => {
-  // Estimates are off by a factor of six at times. An entry that believed them
-  // took streams that its own end then cut, which nobody may do at a planned stop.
+t.test("the bound covers the longest observed streams of the same estimate", (t) => {
+  // Estimates are off by a factor of six; a planned stop must not cut streams.
   const streams = new StreamDurationBound();
-  t.ok(streams.upperBound(cost(100)) >= 5000, "careful before any was seen");
+  t.ok(streams.upperBound(cost(100)) >= 5000, "the initial bound is high");
   for (let count = 0; count < 600; count++) {
     const factor = count % 100 === 0 ? 6 : 1;
     streams.observe(cost(100), 200 + 100 * factor * 4);
@@ -18,7 +17,7 @@
   t.end();
 });
 
-t.test("plain calls say nothing of streams", (t) => {
+t.test("calls without a stream don't change the bound", (t) => {
   const streams = new StreamDurationBound();
   const before = streams.upperBound(cost(100));
   const plain = { promptTokens: 0, outputTokens: 1 };
