--- a/packages/decisions/src/fleet/entry_group.ts
+++ b/packages/decisions/src/fleet/entry_group.ts
@@ -1,41 +1,44 @@
 /**
- * Who grants for whom among the entries, and which part of what all entries
- * share the one that grants may use.
+ * Determines which entry grants for a group of entries, and which fractions of
+ * the fleet's capacity and quotas that entry may use.
  *
- * Entries that hear each other are a group; one of them, the same in the eyes of
- * each, grants for all, so that there is one queue in front of all engines.
- * Hearing is not always mutual: an entry may be heard by two others that do not
- * hear each other, and count in the groups of both. But it asks one of them only.
- * So whoever grants uses the shares of those that ask it, and all parts together
- * never are more than the whole.
+ * Entries that receive each other's heartbeats form a group. All of them choose
+ * the same granting entry, so that there is one queue in front of all engines.
+ * Reachability is not always mutual: an entry may be connected to two others
+ * that are not connected to each other, and count as present in the groups of
+ * both. It sends its grant requests to only one of them, however. A granting
+ * entry therefore uses the shares of the entries that send it their requests,
+ * and the fractions of all groups never add up to more than 1.
  * @module
  */
 import { hashText } from "../placement/hash_text.ts";
 import { REDUCED_SHARE } from "./membership_list.ts";
 
-/** An entry that may grant, and what its instance can carry. */
+/** An entry that may become the granting entry. */
 export type GrantCandidate = {
   name: string;
-  /** In cores. */
+  /** Processor time of its instance, in cores. */
   processors: number;
 };
 
 /**
- * The entry that grants for the group: the same one whoever of it asks. It is the
- * one with the most processor time, as instances differ widely and all requests of
- * the group pass it; a hash decides among equals.
+ * Selects the granting entry; the result does not depend on the order of the
+ * candidates. All requests of the group pass through it and instances differ
+ * widely, so the one with the most processor time is selected; a hash decides
+ * among equals. An instance with a quarter of a core that granted for 25
+ * entries responded 1.5 s late at 3,000 requests a second.
  */
 export function selectGrantingEntry(
-  able: readonly GrantCandidate[],
+  candidates: readonly GrantCandidate[],
 ): string | undefined {
   let best: GrantCandidate | undefined;
-  for (const entry of able) {
-    if (best === undefined || goesBefore(entry, best)) best = entry;
+  for (const entry of candidates) {
+    if (best === undefined || ranksBefore(entry, best)) best = entry;
   }
   return best?.name;
 }
 
-function goesBefore(one: GrantCandidate, other: GrantCandidate): boolean {
+function ranksBefore(one: GrantCandidate, other: GrantCandidate): boolean {
   if (one.processors !== other.processors) {
     return one.processors > other.processors;
   }
@@ -44,59 +47,59 @@
   return hash === otherHash ? one.name < other.name : hash > otherHash;
 }
 
-/** An entry that is heard, or this one. */
+/** An entry that is connected to this one, or this one itself. */
 export type PresentEntry = {
   name: string;
-  /** The others certainly count it. */
+  /** The other entries certainly count it at its full share. */
   listed: boolean;
-  /** It asks this entry, and nobody else, for servers. */
+  /** It sends its grant requests to this entry. */
   asksThisEntry: boolean;
 };
 
-/** What {@link groupFractions} goes by. */
+/** Input of {@link groupFractions}. */
 export type GroupView = {
   present: readonly PresentEntry[];
-  /** What is left to each entry that is known; see `EntryRoll.shares`. */
+  /** Share reserved for each known entry; see `MembershipList.shares`. */
   shares: ReadonlyMap<string, number>;
-  /** The most shares that a peer counts. */
+  /** The largest total of shares that a peer reports. */
   stated: number;
 };
 
-/** Parts, up to 1, of what all entries share. */
+/** Fractions, 0 to 1, of what the whole fleet may use. */
 export type GroupFractions = {
-  /** Of servers' places: too much of it costs time only. */
+  /** Of the servers' capacity; exceeding it in sum only costs time. */
   room: number;
-  /** Of quotas: never above the whole in sum. */
+  /** Of the quotas; these never add up to more than 1 in the fleet. */
   quota: number;
 };
 
-/** Shares that all entries have together, as far as this one knows. */
+/** Returns the sum of the shares of all entries that this one knows. */
 export function totalShares(view: Omit<GroupView, "stated">): number {
   const shares = new Map(view.shares);
   for (const entry of view.present) {
     const known = shares.get(entry.name) ?? 0;
-    shares.set(entry.name, Math.max(known, ownShare(entry)));
+    shares.set(entry.name, Math.max(known, shareInUse(entry)));
   }
   return sum(shares.values());
 }
 
-/** The parts that this entry grants from; see the module. */
+/** Returns the fractions that this entry may grant as the granting entry. */
 export function groupFractions(view: GroupView): GroupFractions {
   const { present, shares, stated } = view;
   const asking = present.filter(({ asksThisEntry: asks }) => asks);
-  const full = [...shares].filter(([, share]) => share === 1)
+  const atFullShare = [...shares].filter(([, share]) => share === 1)
     .map(([name]) => name);
-  const counted = new Set([...full, ...asking.map(({ name }) => name)]);
+  const counted = new Set([...atFullShare, ...asking.map(({ name }) => name)]);
   const fleet = Math.max(totalShares(view), stated);
-  const used = sum(asking.map(ownShare));
+  const used = sum(asking.map(shareInUse));
   return {
     room: counted.size === 0 ? 0 : asking.length / counted.size,
     quota: fleet === 0 ? 0 : used / fleet,
   };
 }
 
-/** What an entry goes by: its share, or a part of it once it was dropped. */
-function ownShare({ listed }: PresentEntry): number {
+/** Share that the entry itself uses, reduced once the others don't count it. */
+function shareInUse({ listed }: PresentEntry): number {
   return listed ? 1 : REDUCED_SHARE;
 }
 
--- a/packages/decisions/src/fleet/membership_list.ts
+++ b/packages/decisions/src/fleet/membership_list.ts
@@ -1,74 +1,88 @@
 /**
- * The entries that share what all of them together may use, also those that are
- * registered no more.
+ * The entries among which quotas and capacity are divided, including those that
+ * are no longer registered.
  *
- * An entry whose registration has run out may live on: the store turns it away,
- * or it is cut off. For a while it goes by its whole share, since it can't know
- * sooner, and by a fifth of it from then on. So the others leave it as much.
+ * An entry whose registration has expired may still be running: the store
+ * rejects its calls, or the network is partitioned. It can't know at once, so
+ * it continues to use its full share for a grace period, and a fifth of it
+ * afterwards. The other entries reserve the same for it.
  * @module
  */
 
 /**
- * Milliseconds for which an entry that is registered no more is still counted:
- * longer than any window of quotas (8 s), and than a restart.
+ * Milliseconds for which an unregistered entry still counts at its full share:
+ * longer than any quota window (8 s) and than a restart.
  */
 export const UNREGISTERED_GRACE_PERIOD = 10_000;
-/** Part of its share that an entry uses which the others count no more. */
+/** Share of an entry whose grace period has passed. */
 export const REDUCED_SHARE = 0.2;
-/** Milliseconds for which that part is left to it. */
-const LEFT_FOR = 600_000;
+/**
+ * Milliseconds after the grace period for which the reduced share is reserved.
+ */
+const REDUCED_SHARE_DURATION = 600_000;
 
-/** See the module; times in milliseconds. */
+/** Registered and recently registered entries; times in milliseconds. */
 export class MembershipList {
   readonly #registered = new Set<string>();
-  /** Entries that are registered no more, and until when they are counted. */
-  readonly #departed = new Map<string, number>();
-  /** Entries that said that they leave. */
+  /** Unregistered entries, with the end of their grace period. */
+  readonly #graceEnds = new Map<string, number>();
+  /** Entries that announced that they stop. */
   readonly #leaving = new Set<string>();
 
-  /** Takes over who is registered. */
+  /** Replaces the registered entries. */
   replace(names: Iterable<string>, now: number): void {
     const before = [...this.#registered];
     this.#registered.clear();
     for (const name of names) this.markRegistered(name);
     for (const name of before) {
       if (!this.#registered.has(name)) {
-        this.#depart(name, now + UNREGISTERED_GRACE_PERIOD);
+        this.#setGraceEnd(name, now + UNREGISTERED_GRACE_PERIOD);
       }
     }
   }
 
   markRegistered(name: string): void {
     this.#registered.add(name);
-    this.#departed.delete(name);
+    this.#graceEnds.delete(name);
     this.#leaving.delete(name);
   }
 
-  /** The registration is gone. */
+  /** Starts the grace period of an entry whose registration is gone. */
   markUnregistered(name: string, now: number): void {
     if (this.#registered.delete(name)) {
-      this.#depart(name, now + UNREGISTERED_GRACE_PERIOD);
+      this.#setGraceEnd(name, now + UNREGISTERED_GRACE_PERIOD);
     }
   }
 
-  /** An entry says that it ends: nothing is left to it once it isn't counted. */
+  /**
+   * Records that an entry announced its stop, so that nothing is reserved for
+   * it after its grace period.
+   */
   markLeaving(name: string): void {
     this.#leaving.add(name);
   }
 
-  /** A peer counts the entry for so many milliseconds more. */
+  /**
+   * Merges the remaining grace period that a peer reports for an entry, in
+   * milliseconds.
+   */
   mergeFromPeer(name: string, countedFor: number, now: number): void {
     if (this.#registered.has(name)) return;
-    const until = now + Math.min(countedFor, UNREGISTERED_GRACE_PERIOD);
-    this.#depart(name, Math.max(until, this.#departed.get(name) ?? -Infinity));
+    const graceEnd = now + Math.min(countedFor, UNREGISTERED_GRACE_PERIOD);
+    this.#setGraceEnd(
+      name,
+      Math.max(graceEnd, this.#graceEnds.get(name) ?? -Infinity),
+    );
   }
 
-  /** Milliseconds for which each entry is counted, to tell a peer. */
+  /**
+   * Returns the remaining milliseconds at full share of each entry, for peers.
+   */
   countedFor(now: number): Map<string, number> {
-    this.#forget(now);
+    this.#removeExpired(now);
     const times = new Map<string, number>();
-    for (const [name, until] of this.#departed) {
-      times.set(name, Math.max(0, until - now));
+    for (const [name, graceEnd] of this.#graceEnds) {
+      times.set(name, Math.max(0, graceEnd - now));
     }
     for (const name of this.#registered) {
       times.set(name, UNREGISTERED_GRACE_PERIOD);
@@ -76,26 +90,26 @@
     return times;
   }
 
-  /** The part of a share that is left to each entry: 1, or what is left to it. */
+  /** Returns the share reserved for each entry: 1, or the reduced share. */
   shares(now: number): Map<string, number> {
-    this.#forget(now);
+    this.#removeExpired(now);
     const shares = new Map<string, number>();
-    for (const [name, until] of this.#departed) {
-      shares.set(name, now < until ? 1 : REDUCED_SHARE);
+    for (const [name, graceEnd] of this.#graceEnds) {
+      shares.set(name, now < graceEnd ? 1 : REDUCED_SHARE);
     }
     for (const name of this.#registered) shares.set(name, 1);
     return shares;
   }
 
-  #depart(name: string, until: number): void {
-    this.#departed.set(name, until);
+  #setGraceEnd(name: string, graceEnd: number): void {
+    this.#graceEnds.set(name, graceEnd);
   }
 
-  #forget(now: number): void {
-    for (const [name, until] of this.#departed) {
-      const leftFor = this.#leaving.has(name) ? 0 : LEFT_FOR;
-      if (now < until + leftFor) continue;
-      this.#departed.delete(name);
+  #removeExpired(now: number): void {
+    for (const [name, graceEnd] of this.#graceEnds) {
+      const duration = this.#leaving.has(name) ? 0 : REDUCED_SHARE_DURATION;
+      if (now < graceEnd + duration) continue;
+      this.#graceEnds.delete(name);
       this.#leaving.delete(name);
     }
   }
--- a/packages/decisions/src/fleet/mod.ts
+++ b/packages/decisions/src/fleet/mod.ts
@@ -1,4 +1,7 @@
-/** Entries that work as one group. @module */
+/**
+ * Groups of entries, their membership and the exchange of state among them.
+ * @module
+ */
 export {
   groupFractions,
   selectGrantingEntry,
--- a/packages/decisions/src/fleet/state_pull.ts
+++ b/packages/decisions/src/fleet/state_pull.ts
@@ -1,23 +1,26 @@
 /**
- * Which peer an entry asks for newer state, and for which part of it.
+ * Decides which peer an entry requests newer state from, and which part of it.
  *
- * A configuration may take a link a second, and all peers say several times a
- * second that they have it. Sent by all of them at once, neither callers nor
- * heartbeats would get through. So state comes from one peer at a time and in
- * small parts, the next one asked for when one has come, and only after the store
- * has had the time to tell of it.
+ * A configuration may occupy a link for a second, and all peers announce
+ * several times a second which revision they have. If all of them sent it at
+ * once, callers' requests and heartbeats would be held up. State is therefore
+ * requested from one peer at a time and in small parts, each after the previous
+ * one has arrived, and only after the store has had time to deliver the same
+ * state.
  * @module
  */
 
-/** Milliseconds that a peer may be ahead before it is asked. */
-const PATIENCE = 250;
-/** Milliseconds without the part that was asked for until another peer is. */
-const STALLED_AFTER = 700;
+/** Milliseconds that a peer may be ahead before state is requested from it. */
+const PULL_DELAY = 250;
+/**
+ * Milliseconds without the requested part after which another peer is tried.
+ */
+const PART_TIMEOUT = 700;
 
-/** A part to ask a peer for; `offset` in bytes. */
+/** A request for the part of a peer's state that begins at byte `offset`. */
 export type StateRequest = { peer: string; revision: number; offset: number };
 
-/** A part as it came; `total` is the size of the whole in bytes. */
+/** A part of a peer's state; `total` is the size of the whole in bytes. */
 export type StatePart = {
   revision: number;
   offset: number;
@@ -25,7 +28,7 @@
   bytes: Uint8Array;
 };
 
-/** What follows from a part. */
+/** What to do after a part was received. */
 export type StateStep =
   | { kind: "ask"; request: StateRequest }
   | { kind: "whole"; revision: number; parts: Uint8Array[] }
@@ -36,46 +39,49 @@
   revision: number;
   offset: number;
   parts: Uint8Array[];
-  askedAt: number;
+  requestedAt: number;
 };
 
-/** One kind of state; times in milliseconds. */
+/** Transfers of one kind of state; times in milliseconds. */
 export class StatePull {
   readonly #offers = new Map<string, number>();
-  /** Peers that did not send what they were asked for. */
-  readonly #failed = new Set<string>();
-  /** Newest revision that came whole and can't be used here. */
-  #unusable = 0;
+  /** Peers that did not send a requested part, or sent corrupted data. */
+  readonly #failedPeers = new Set<string>();
+  /** Newest revision that was received completely but can't be used here. */
+  #unusableRevision = 0;
   #behindSince: number | undefined;
   #transfer: Transfer | undefined;
 
-  /** States which revision a peer has. */
+  /** Records the revision that a peer announces. */
   recordOffer(peer: string, revision: number): void {
     this.#offers.set(peer, revision);
   }
 
-  /** A peer is heard no more. */
+  /** Removes a peer whose link is lost. */
   removePeer(peer: string): void {
     this.#offers.delete(peer);
-    this.#failed.delete(peer);
+    this.#failedPeers.delete(peer);
     if (this.#transfer?.peer === peer) this.#transfer = undefined;
   }
 
-  /** What a peer sent was spoilt on the way. */
+  /** Records that the data received from a peer was corrupted. */
   markCorrupted(peer: string): void {
-    this.#failed.add(peer);
+    this.#failedPeers.add(peer);
     this.#transfer = undefined;
   }
 
-  /** What came whole can't be used: it isn't asked for again. */
+  /**
+   * Excludes a revision that was received completely but can't be used from
+   * further requests.
+   */
   markUnusable(revision: number): void {
-    this.#unusable = Math.max(this.#unusable, revision);
+    this.#unusableRevision = Math.max(this.#unusableRevision, revision);
     this.#transfer = undefined;
   }
 
   /**
-   * The first part of a transfer, if one is to begin. `known` is the revision
-   * held here; `draw` in [0, 1) chooses among the peers.
+   * Returns the request that starts a transfer, or `undefined` if none is due.
+   * `known` is the revision held here; `draw`, in [0, 1), selects the peer.
    */
   nextRequest(
     known: number,
@@ -83,23 +89,23 @@
     draw: number,
   ): StateRequest | undefined {
     const newest = Math.max(0, ...this.#offers.values());
-    if (newest <= Math.max(known, this.#unusable)) {
+    if (newest <= Math.max(known, this.#unusableRevision)) {
       this.#behindSince = undefined;
       this.#transfer = undefined;
-      this.#failed.clear();
+      this.#failedPeers.clear();
       return undefined;
     }
     this.#behindSince ??= now;
-    if (this.#underWay(known, now)) return undefined;
-    if (now - this.#behindSince < PATIENCE) return undefined;
-    const peers = this.#ahead(newest);
+    if (this.#isTransferActive(known, now)) return undefined;
+    if (now - this.#behindSince < PULL_DELAY) return undefined;
+    const peers = this.#peersWith(newest);
     const peer = peers[Math.floor(draw * peers.length)]!;
-    return this.#ask({
+    return this.#continueTransfer({
       peer,
       revision: newest,
       offset: 0,
       parts: [],
-      askedAt: now,
+      requestedAt: now,
     });
   }
 
@@ -108,47 +114,61 @@
     if (transfer?.peer !== peer) return { kind: "ignored" };
     const { revision, offset, total, bytes } = part;
     if (revision !== transfer.revision) {
-      // The peer has another revision by now, and sends that one.
-      const anew = { peer, revision, offset: 0, parts: [], askedAt: now };
-      if (offset > 0) return { kind: "ask", request: this.#ask(anew) };
-      this.#transfer = anew;
+      // The peer has moved on to another revision and sends that one.
+      const restarted = {
+        peer,
+        revision,
+        offset: 0,
+        parts: [],
+        requestedAt: now,
+      };
+      if (offset > 0) {
+        return { kind: "ask", request: this.#continueTransfer(restarted) };
+      }
+      this.#transfer = restarted;
       return this.receivePart(peer, part, now);
     }
     const next = offset === transfer.offset && bytes.length > 0;
     if (!next) return { kind: "ignored" };
     transfer.parts.push(bytes);
     transfer.offset += bytes.length;
-    transfer.askedAt = now;
+    transfer.requestedAt = now;
     if (transfer.offset < total) {
-      return { kind: "ask", request: this.#ask(transfer) };
+      return { kind: "ask", request: this.#continueTransfer(transfer) };
     }
-    // It stands until it is taken over: the same is not asked for meanwhile.
+    // The transfer stays until its state is applied, so that the same revision
+    // is not requested again meanwhile.
     return { kind: "whole", revision, parts: transfer.parts };
   }
 
-  #ask(transfer: Transfer): StateRequest {
+  #continueTransfer(transfer: Transfer): StateRequest {
     this.#transfer = transfer;
     const { peer, revision, offset } = transfer;
     return { peer, revision, offset };
   }
 
-  #underWay(known: number, now: number): boolean {
+  #isTransferActive(known: number, now: number): boolean {
     const transfer = this.#transfer;
     if (transfer === undefined) return false;
-    const stalled = now - transfer.askedAt >= STALLED_AFTER;
+    const stalled = now - transfer.requestedAt >= PART_TIMEOUT;
     if (transfer.revision > known && !stalled) return true;
-    if (stalled) this.#failed.add(transfer.peer);
+    if (stalled) this.#failedPeers.add(transfer.peer);
     this.#transfer = undefined;
     return false;
   }
 
-  /** Peers that have the revision: those that never failed, if there are any. */
-  #ahead(revision: number): string[] {
-    const ahead = [...this.#offers].filter(([, offer]) => offer === revision)
+  /**
+   * Returns the peers with this revision, without those that failed unless all
+   * of them have.
+   */
+  #peersWith(revision: number): string[] {
+    const candidates = [...this.#offers].filter(([, offer]) =>
+      offer === revision
+    )
       .map(([peer]) => peer);
-    const sound = ahead.filter((peer) => !this.#failed.has(peer));
-    if (sound.length > 0) return sound;
-    this.#failed.clear();
-    return ahead;
+    const working = candidates.filter((peer) => !this.#failedPeers.has(peer));
+    if (working.length > 0) return working;
+    this.#failedPeers.clear();
+    return candidates;
   }
 }
--- a/packages/decisions/src/fleet/watch_timeouts.ts
+++ b/packages/decisions/src/fleet/watch_timeouts.ts
@@ -1,48 +1,53 @@
 /**
- * How long each entry lets the store hold its watches.
+ * Staggers the timeouts of the entries' watches on the store.
  *
- * A connection to the store may go silent without being closed, and a watch on it
- * shows nothing until it ends. Entries tell each other what they read, so it is
- * enough that the watch of some entry ends soon: they take turns, and the calls to
- * the store do not grow with the fleet. All are woken by a change at the same
- * moment, so each turn takes another place in the order.
+ * A connection to the store may fail without being closed, and a watch on it
+ * shows nothing until its timeout. Entries tell each other what they read, so
+ * it is enough that the watch of one entry ends soon. The entries take turns at
+ * the shortest timeout, and the number of calls to the store does not grow with
+ * the fleet. A change ends the watches of all entries at the same moment, so
+ * the order is rotated by one for each watch.
  *
- * When a fleet starts, each entry and each server registers. If every registration
- * ended the watches of all entries, the number of calls would grow with the square
- * of the fleet. A delay after each watch that returned changes coalesces them.
+ * When a fleet starts, each entry and each server registers. If every
+ * registration ended the watches of all entries, the number of calls would grow
+ * with the square of the fleet. A delay after each watch that returned changes
+ * coalesces them.
  * @module
  */
 
-/** Milliseconds: the store forgets what it tells watches after some 20 s. */
-const LONGEST_WAIT = 16_000;
+/**
+ * Maximum milliseconds; the store discards its history of changes after about
+ * 20 s.
+ */
+const MAXIMUM_TIMEOUT = 16_000;
 
 /** Milliseconds of delay after changes, for each entry of the group. */
 const DELAY_PER_ENTRY = 10;
 /** Upper bound of that delay in milliseconds. */
-const LONGEST_DELAY = 1000;
+const MAXIMUM_DELAY = 1000;
 
-/** Entries that hear each other, and this one's place among them. */
+/** Number of connected entries, this one included, and its rank among them. */
 export type WatchGroup = { rank: number; size: number };
 
-/** The waits of one watch, one after the other. */
+/** The timeouts of successive watches on one prefix. */
 export class WatchTimeouts {
   readonly #shortest: number;
-  #turn = 0;
+  #rotation = 0;
 
-  /** `shortest`: milliseconds until the first of a group's watches ends. */
+  /** `shortest`: the shortest timeout in a group, in milliseconds. */
   constructor(shortest: number) {
     this.#shortest = shortest;
   }
 
   /** Milliseconds to delay the next watch after one that returned changes. */
   coalescingDelay({ size }: WatchGroup): number {
-    return Math.min(LONGEST_DELAY, DELAY_PER_ENTRY * size);
+    return Math.min(MAXIMUM_DELAY, DELAY_PER_ENTRY * size);
   }
 
-  /** Milliseconds. */
+  /** Returns the timeout of the next watch in milliseconds. */
   nextTimeout({ rank, size }: WatchGroup): number {
-    const place = (rank + this.#turn) % size;
-    this.#turn++;
-    return Math.min(LONGEST_WAIT, this.#shortest * (place + 1));
+    const position = (rank + this.#rotation) % size;
+    this.#rotation++;
+    return Math.min(MAXIMUM_TIMEOUT, this.#shortest * (position + 1));
   }
 }
--- a/packages/decisions/test/state_pull_test.ts
+++ b/packages/decisions/test/state_pull_test.ts
@@ -4,8 +4,8 @@
 const PEERS = ["a", "b", "c", "d", "e", "f"];
 const PART = new Uint8Array(10);
 
-/** A pull that six peers have offered revision 5 to, until it asks at 250 ms. */
-function asking(): { pull: StatePull; peer: string } {
+/** A pull with six offers of revision 5 that sent its request at 250 ms. */
+function startedPull(): { pull: StatePull; peer: string } {
   const pull = new StatePull();
   for (const peer of PEERS) pull.recordOffer(peer, 5);
   pull.nextRequest(4, 0, 0);
@@ -13,33 +13,33 @@
   return { pull, peer: request?.peer ?? "" };
 }
 
-t.test("of many peers that say often what they have one is asked, once", (t) => {
+t.test("repeated offers of many peers cause one request to one peer", (t) => {
   const pull = new StatePull();
-  const asked: string[] = [];
+  const requests: string[] = [];
   for (let now = 0; now < 900; now += 10) {
     for (const peer of PEERS) {
       pull.recordOffer(peer, 5);
       const request = pull.nextRequest(4, now, 0.9);
-      if (request !== undefined) asked.push(`${request.peer} at ${now}`);
+      if (request !== undefined) requests.push(`${request.peer} at ${now}`);
     }
   }
-  t.same(asked, ["f at 250"]);
+  t.same(requests, ["f at 250"]);
   t.end();
 });
 
-t.test("nobody is asked for what the store has told meanwhile", (t) => {
+t.test("state that the store delivers in time is not requested", (t) => {
   const pull = new StatePull();
   pull.recordOffer("a", 5);
   t.equal(pull.nextRequest(4, 0, 0), undefined);
   t.equal(pull.nextRequest(5, 240, 0), undefined);
   pull.recordOffer("a", 6);
-  t.equal(pull.nextRequest(5, 300, 0), undefined, "patience begins anew");
+  t.equal(pull.nextRequest(5, 300, 0), undefined, "the delay starts again");
   t.match(pull.nextRequest(5, 550, 0), { peer: "a", revision: 6, offset: 0 });
   t.end();
 });
 
-t.test("parts are asked for one after the other until all is there", (t) => {
-  const { pull, peer } = asking();
+t.test("parts are requested one by one until the state is complete", (t) => {
+  const { pull, peer } = startedPull();
   const part = { revision: 5, total: 25, bytes: PART };
   t.match(pull.receivePart(peer, { ...part, offset: 0 }, 300), {
     kind: "ask",
@@ -49,19 +49,27 @@
   const empty = { ...part, offset: 10, bytes: PART.subarray(0, 0) };
   t.equal(pull.receivePart(peer, empty, 310).kind, "ignored");
   t.equal(pull.receivePart("z", { ...part, offset: 10 }, 310).kind, "ignored");
-  t.equal(pull.nextRequest(4, 900, 0), undefined, "it makes progress");
+  t.equal(
+    pull.nextRequest(4, 900, 0),
+    undefined,
+    "the transfer makes progress",
+  );
   t.equal(pull.receivePart(peer, { ...part, offset: 10 }, 950).kind, "ask");
   const bytes = PART.subarray(0, 5);
   const last = pull.receivePart(peer, { ...part, offset: 20, bytes }, 1600);
   t.match(last, { kind: "whole", revision: 5 });
   t.equal(last.kind === "whole" && last.parts.length, 3);
-  t.equal(pull.nextRequest(4, 1700, 0), undefined, "it is being taken over");
+  t.equal(
+    pull.nextRequest(4, 1700, 0),
+    undefined,
+    "the state is being applied",
+  );
   t.equal(pull.nextRequest(5, 1710, 0), undefined);
   t.end();
 });
 
-t.test("a peer that is lost or sends nothing gives way to another", (t) => {
-  const { pull, peer } = asking();
+t.test("a peer that is lost or does not respond is replaced by another", (t) => {
+  const { pull, peer } = startedPull();
   t.equal(pull.nextRequest(4, 900, 0.4), undefined);
   const second = pull.nextRequest(4, 950, 0.4)?.peer;
   t.not(second, peer);
@@ -72,8 +80,8 @@
   t.end();
 });
 
-t.test("a peer that has a newer revision by now sends that one", (t) => {
-  const { pull, peer } = asking();
+t.test("a transfer restarts when the peer sends a newer revision", (t) => {
+  const { pull, peer } = startedPull();
   const part = { revision: 5, offset: 0, total: 25, bytes: PART };
   pull.receivePart(peer, part, 300);
   const newer = { revision: 7, total: 12, bytes: PART };
@@ -88,8 +96,8 @@
   t.end();
 });
 
-t.test("what is spoilt is asked of another peer, what can't be read of none", (t) => {
-  const { pull, peer } = asking();
+t.test("corrupted state is requested from another peer, unusable state is not", (t) => {
+  const { pull, peer } = startedPull();
   const part = { revision: 5, offset: 0, total: 10, bytes: PART };
   t.equal(pull.receivePart(peer, part, 300).kind, "whole");
   pull.markCorrupted(peer);
