--- a/packages/decisions/src/moves/evidence.ts
+++ b/packages/decisions/src/moves/evidence.ts
@@ -1,23 +1,25 @@
-/** What calls of a route showed while two versions served it. @module */
+/** Counts of a route's calls while two versions serve it. @module */
 
-/** Calls that ended within one span of time. */
+/** Counts of calls that ended within one interval. */
 export type CallCounts = {
-  /** Calls that ended, failures included. */
+  /** All calls that ended, including failed ones. */
   ended: number;
   failed: number;
-  /** Calls over the route's threshold for slowness. */
+  /** Calls slower than the route's threshold. */
   slow: number;
 };
 
-/** Counts of both versions, of one route, over the same span of time. */
+/**
+ * Counts of a route's calls on the old (`from`) and the new (`to`) version,
+ * over the same interval.
+ */
 export type RouteEvidence = {
   route: string;
   from: CallCounts;
   to: CallCounts;
 };
 
-/** Counts of nothing. */
-export function noCalls(): CallCounts {
+export function zeroCounts(): CallCounts {
   return { ended: 0, failed: 0, slow: 0 };
 }
 
--- a/packages/decisions/src/moves/evidence_collector.ts
+++ b/packages/decisions/src/moves/evidence_collector.ts
@@ -1,36 +1,41 @@
 /**
- * Gathers the ends of calls at one process until they are judged or told to
- * the move's driver. A call counts as slow against a threshold that is the
- * same for both versions at any moment, so whatever slows both marks both.
+ * Counts the ended calls at one process until they are evaluated or sent to the
+ * move's driver. A call counts as slow by a threshold that is the same for both
+ * versions at any moment, so a cause that slows both down affects the counts of
+ * both.
  * @module
  */
-import { addCounts, noCalls } from "./evidence.ts";
+import { addCounts, zeroCounts } from "./evidence.ts";
 import type { CallCounts, RouteEvidence } from "./evidence.ts";
 import { RunningQuantile } from "./running_quantile.ts";
 
-/** One call in ten of the old version is over the threshold. */
+/** The threshold is exceeded by one call in ten of the old version. */
 const SLOW_QUANTILE = 0.9;
 
-/** Routes counted apart; further ones are counted together. */
-const MOST_ROUTES = 64;
+/**
+ * Maximum number of routes counted separately; further ones are counted
+ * together.
+ */
+const MAXIMUM_ROUTES = 64;
 const OTHER_ROUTES = "*";
 
-/** Which of the move's versions served a call. */
+/** The version that served a call: `from` is the old one, `to` the new one. */
 export type VersionSide = "from" | "to";
 
-type RouteTally = {
+type RouteCounts = {
   threshold: RunningQuantile;
   from: CallCounts;
   to: CallCounts;
 };
 
-/** Counts per route since the last time they were taken. */
+/** Counts for each route since the last {@link EvidenceCollector.flush}. */
 export class EvidenceCollector {
-  readonly #routes = new Map<string, RouteTally>();
+  readonly #routes = new Map<string, RouteCounts>();
 
   /**
-   * States that a call ended. `slowness` is the measured time to first token
-   * over the expected one; absent for a call that failed before it.
+   * Records an ended call. `slowness` is the measured time to first token
+   * divided by the expected one; absent for a call that failed before its first
+   * token.
    */
   recordCall(
     call: {
@@ -40,48 +45,52 @@
       slowness?: number | undefined;
     },
   ): void {
-    const tally = this.#tallyOf(call.route);
-    const counts = tally[call.side];
+    const routeCounts = this.#countsOf(call.route);
+    const counts = routeCounts[call.side];
     counts.ended++;
     if (call.failed) counts.failed++;
     if (call.slowness === undefined) return;
-    if (call.slowness > (tally.threshold.value ?? Infinity)) counts.slow++;
-    if (call.side === "from") tally.threshold.add(call.slowness);
+    if (call.slowness > (routeCounts.threshold.value ?? Infinity)) {
+      counts.slow++;
+    }
+    if (call.side === "from") routeCounts.threshold.add(call.slowness);
   }
 
-  /** Gives what was counted and starts anew; the thresholds stay. */
+  /** Returns the counts and resets them; the thresholds are kept. */
   flush(): RouteEvidence[] {
     const evidence: RouteEvidence[] = [];
-    for (const [route, tally] of this.#routes) {
-      const { from, to } = tally;
+    for (const [route, routeCounts] of this.#routes) {
+      const { from, to } = routeCounts;
       if (from.ended + to.ended === 0) continue;
       evidence.push({ route, from, to });
-      tally.from = noCalls();
-      tally.to = noCalls();
+      routeCounts.from = zeroCounts();
+      routeCounts.to = zeroCounts();
     }
     return evidence;
   }
 
-  #tallyOf(route: string): RouteTally {
-    const full = this.#routes.size >= MOST_ROUTES && !this.#routes.has(route);
+  #countsOf(route: string): RouteCounts {
+    const full = this.#routes.size >= MAXIMUM_ROUTES &&
+      !this.#routes.has(route);
     const key = full ? OTHER_ROUTES : route;
-    let tally = this.#routes.get(key);
-    if (tally === undefined) {
+    let routeCounts = this.#routes.get(key);
+    if (routeCounts === undefined) {
       const threshold = new RunningQuantile(SLOW_QUANTILE);
-      tally = { threshold, from: noCalls(), to: noCalls() };
-      this.#routes.set(key, tally);
+      routeCounts = { threshold, from: zeroCounts(), to: zeroCounts() };
+      this.#routes.set(key, routeCounts);
     }
-    return tally;
+    return routeCounts;
   }
 }
 
-/** Adds evidence of the same routes together. */
+/** Sums the evidence of each route. */
 export function mergeEvidence(
   evidence: Iterable<RouteEvidence>,
 ): RouteEvidence[] {
   const routes = new Map<string, RouteEvidence>();
   for (const { route, from, to } of evidence) {
-    const sum = routes.get(route) ?? { route, from: noCalls(), to: noCalls() };
+    const sum = routes.get(route) ??
+      { route, from: zeroCounts(), to: zeroCounts() };
     routes.set(route, sum);
     addCounts(sum.from, from);
     addCounts(sum.to, to);
--- a/packages/decisions/src/moves/mod.ts
+++ b/packages/decisions/src/moves/mod.ts
@@ -1,4 +1,8 @@
-/** Version moves: evidence, judgement, steps and the split of traffic. @module */
+/**
+ * Moves of a service from one version to another: evidence, evaluation, steps
+ * and the traffic split.
+ * @module
+ */
 export type { CallCounts, RouteEvidence } from "./evidence.ts";
 export { EvidenceCollector, mergeEvidence } from "./evidence_collector.ts";
 export type { VersionSide } from "./evidence_collector.ts";
--- a/packages/decisions/src/moves/move_judge.ts
+++ b/packages/decisions/src/moves/move_judge.ts
@@ -1,29 +1,30 @@
 /**
- * Judges a new version against the old one from calls of the same time, for
- * each route apart.
+ * Compares a new version with the old one, separately for each route, by calls
+ * of the same interval.
  *
- * Answers versions that fail or slow down at once, later, under load or on one
- * route only. A threshold on the error rate needs many calls to see a bad route
- * among good ones, and blames the new version for a fault that both share. The
- * same judge runs at each entry on its own calls, which stops the new version
- * there before any record is written, and at the move's driver on everyone's.
+ * Detects versions that fail or slow down at once, later, under load or on one
+ * route only. A fixed threshold on the error rate needs many calls to detect
+ * one bad route among good ones, and blames the new version for a fault that
+ * affects both. The same judge runs at each entry on the entry's own calls,
+ * which stops the new version there before any record is written, and at the
+ * move's driver on the calls of all entries.
  *
- * Figures: alarm at an evidence of 1000, so that of good versions with six
- * routes and kinds watched fewer than one in a hundred is taken back. At a
- * share of 2 %, three failures without one of the old version reach it. A new
- * version's caches are cold, so up to twice as many slow calls are put up
- * with and its first 20 calls of a route are not judged for slowness. A failure
- * on each version once in a thousand calls is no news: a fifth more is
- * put up with.
+ * The alarm threshold is an evidence of 1000, so that fewer than one in a
+ * hundred good versions is taken back when six combinations of route and kind
+ * of event are watched. At a share of 2 %, three failures without one of the
+ * old version reach it. The caches of a new version are cold, so up to twice as
+ * many slow calls are tolerated and the first 20 calls of a route are not
+ * evaluated for slowness. A fifth more failures than on the old version are
+ * tolerated: one failure on each version in a thousand calls is no evidence.
  * @module
  */
-import { addCounts, noCalls } from "./evidence.ts";
+import { addCounts, zeroCounts } from "./evidence.ts";
 import type { CallCounts, RouteEvidence } from "./evidence.ts";
 import { RatioEvidence } from "./ratio_evidence.ts";
 
-/** What is known against the new version. */
+/** Result of the comparison so far. */
 export type MoveVerdict =
-  | { kind: "open" }
+  | { kind: "undecided" }
   | {
     kind: "bad";
     route: string;
@@ -32,53 +33,57 @@
     to: CallCounts;
   };
 
-const ALARM = 1000;
-const FAILURES = { tolerated: 1.2, suppositions: [2, 5, 20, 100] };
-const SLOWNESS = { tolerated: 2, suppositions: [3, 5, 9] };
+const ALARM_THRESHOLD = 1000;
+const FAILURE_TEST = {
+  toleratedRatio: 1.2,
+  alternativeRatios: [2, 5, 20, 100],
+};
+const SLOWNESS_TEST = { toleratedRatio: 2, alternativeRatios: [3, 5, 9] };
 const WARM_UP_CALLS = 20;
 
 /**
- * Calls are compared with calls of the same span of time. A span ends once both
- * versions have calls in it. With little traffic the old version's calls wait
- * for one of the new version, so that it is weighed against all of them; calls
- * of the new version wait shorter, and where the old one gets none any more its
- * last minute stands in.
+ * Calls are compared with calls of the same interval, which ends once both
+ * versions have calls in it. With little traffic, calls of the old version are
+ * kept for up to 60 s until one of the new version can be compared with all of
+ * them. Calls of the new version are kept for 10 s; if the old version still
+ * has none, its calls of the last minute are used instead.
  */
-const LONGEST_SPAN = { withoutNew: 60_000, withoutOld: 10_000 };
-const BASELINE_MEMORY = 60_000;
+const MAXIMUM_INTERVAL = { withoutNew: 60_000, withoutOld: 10_000 };
+/** Milliseconds in which the old version's earlier counts decay to 1/e. */
+const BASELINE_TIME_CONSTANT = 60_000;
 
 type RouteState = {
   failures: RatioEvidence;
   slowness: RatioEvidence;
   total: RouteEvidence;
-  /** Not yet compared. */
+  /** Counts that were not compared yet. */
   pending: RouteEvidence;
   pendingSince: number;
   baseline: CallCounts;
   baselineAt: number;
 };
 
-/** One move's evidence at one process. */
+/** Evaluates the evidence of one move at one process. */
 export class MoveJudge {
   readonly #routes = new Map<string, RouteState>();
-  #verdict: MoveVerdict = { kind: "open" };
+  #verdict: MoveVerdict = { kind: "undecided" };
 
-  /** Once bad, a version stays bad for this move. */
+  /** The verdict `bad` is final for this move. */
   get verdict(): MoveVerdict {
     return this.#verdict;
   }
 
-  /** Counts since the start, per route. */
+  /** Counts of each route since the move began. */
   get totals(): RouteEvidence[] {
     return [...this.#routes.values()].map((state) => state.total);
   }
 
-  /** Calls of the new version that ended. */
-  get endedOnNew(): number {
+  /** Number of ended calls of the new version. */
+  get newVersionCalls(): number {
     return this.totals.reduce((sum, total) => sum + total.to.ended, 0);
   }
 
-  /** Takes in evidence of one span of time, of up to a few seconds. */
+  /** Adds the evidence of one interval of up to a few seconds. */
   observe(evidence: readonly RouteEvidence[], now: number): MoveVerdict {
     for (const route of evidence) {
       const state = this.#stateOf(route.route, now);
@@ -98,11 +103,11 @@
       return;
     }
     const age = now - state.pendingSince;
-    if (to.ended === 0 && age < LONGEST_SPAN.withoutNew) return;
-    if (from.ended === 0 && age < LONGEST_SPAN.withoutOld) return;
+    if (to.ended === 0 && age < MAXIMUM_INTERVAL.withoutNew) return;
+    if (from.ended === 0 && age < MAXIMUM_INTERVAL.withoutOld) return;
     decayBaseline(state, now);
-    const compared = from.ended > 0 ? from : state.baseline;
-    this.#test(state, compared, to);
+    const reference = from.ended > 0 ? from : state.baseline;
+    this.#test(state, reference, to);
     addCounts(state.baseline, from);
     state.pending = emptyEvidence(state.total.route);
     state.pendingSince = now;
@@ -116,14 +121,14 @@
       state.slowness.observe(from, to, slow);
     }
     if (this.#verdict.kind === "bad") return;
-    if (state.failures.evidence >= ALARM) {
-      this.#condemn(state, "failures");
-    } else if (state.slowness.evidence >= ALARM) {
-      this.#condemn(state, "slowness");
+    if (state.failures.evidence >= ALARM_THRESHOLD) {
+      this.#reject(state, "failures");
+    } else if (state.slowness.evidence >= ALARM_THRESHOLD) {
+      this.#reject(state, "slowness");
     }
   }
 
-  #condemn(state: RouteState, reason: "failures" | "slowness"): void {
+  #reject(state: RouteState, reason: "failures" | "slowness"): void {
     const { route, from, to } = state.total;
     this.#verdict = {
       kind: "bad",
@@ -138,12 +143,12 @@
     let state = this.#routes.get(route);
     if (state === undefined) {
       state = {
-        failures: new RatioEvidence(FAILURES),
-        slowness: new RatioEvidence(SLOWNESS),
+        failures: new RatioEvidence(FAILURE_TEST),
+        slowness: new RatioEvidence(SLOWNESS_TEST),
         total: emptyEvidence(route),
         pending: emptyEvidence(route),
         pendingSince: now,
-        baseline: noCalls(),
+        baseline: zeroCounts(),
         baselineAt: now,
       };
       this.#routes.set(route, state);
@@ -153,11 +158,11 @@
 }
 
 function emptyEvidence(route: string): RouteEvidence {
-  return { route, from: noCalls(), to: noCalls() };
+  return { route, from: zeroCounts(), to: zeroCounts() };
 }
 
 function decayBaseline(state: RouteState, now: number): void {
-  const factor = Math.exp(-(now - state.baselineAt) / BASELINE_MEMORY);
+  const factor = Math.exp(-(now - state.baselineAt) / BASELINE_TIME_CONSTANT);
   state.baselineAt = now;
   state.baseline.ended *= factor;
   state.baseline.failed *= factor;
--- a/packages/decisions/src/moves/move_machine.ts
+++ b/packages/decisions/src/moves/move_machine.ts
@@ -1,10 +1,10 @@
-/** The phases of a move and what leads from one to the next. @module */
+/** State machine of the phases of a move. @module */
 import { robot } from "../lifecycle/robot.ts";
 import type { MovePhase } from "./move_record.ts";
 
 const { createMachine, interpret, state, transition } = robot;
 
-/** What may happen to a move. */
+/** Events that cause a transition. */
 export type MoveEvent = "start" | "raise" | "finish" | "takeBack";
 
 const states = {
@@ -25,7 +25,9 @@
   takenBack: state(),
 };
 
-/** The phase after the event; the same one where the event does not apply. */
+/**
+ * Returns the phase after the event; unchanged where the event does not apply.
+ */
 export function phaseAfter(phase: MovePhase, event: MoveEvent): MovePhase {
   const machine = createMachine(phase, states);
   const service = interpret(machine, () => {});
--- a/packages/decisions/src/moves/move_record.ts
+++ b/packages/decisions/src/moves/move_record.ts
@@ -1,6 +1,6 @@
 /**
- * A move as the platform's key-value service holds it: written only by the
- * driver, each time by compare-and-swap with a fencing number.
+ * The record of a move in the platform's key-value service. Only the move's
+ * driver writes it, each time by compare-and-swap with a fencing number.
  * @module
  */
 import * as v from "valibot";
@@ -8,7 +8,7 @@
 const count = v.pipe(v.number(), v.minValue(0));
 const countsSchema = v.object({ ended: count, failed: count, slow: count });
 
-/** Phases of a move; the last two are ends. */
+/** Phases of a move; the last two are final. */
 export const movePhaseSchema = v.picklist([
   "pending",
   "trial",
@@ -16,10 +16,9 @@
   "complete",
   "takenBack",
 ]);
-/** See {@link movePhaseSchema}. */
 export type MovePhase = v.InferOutput<typeof movePhaseSchema>;
 
-/** Why a move was taken back. */
+/** Reasons for taking a move back. */
 export const takenBackReasonSchema = v.picklist([
   "failures",
   "slowness",
@@ -27,10 +26,9 @@
   "no_room",
   "no_evidence",
 ]);
-/** See {@link takenBackReasonSchema}. */
 export type TakenBackReason = v.InferOutput<typeof takenBackReasonSchema>;
 
-/** Times are milliseconds since the epoch. */
+/** Times are in milliseconds since the Unix epoch. */
 export const moveRecordSchema = v.object({
   move: v.string(),
   service: v.string(),
@@ -40,15 +38,15 @@
   trialShare: v.number(),
   trialRequests: count,
   phase: movePhaseSchema,
-  /** Share of the service's requests for the new version. */
+  /** Share, 0 to 1, of the service's requests sent to the new version. */
   share: v.number(),
   /** Index of the step within its phase. */
   step: count,
-  /** When the step began. */
+  /** Start time of the step. */
   since: v.number(),
-  /** Grows with each driver; backend servers refuse a lower one. */
+  /** Increases with each new driver; backend servers reject a lower one. */
   fencing: count,
-  /** Calls of the new version that had ended when the step began. */
+  /** Ended calls of the new version at the start of the step. */
   endedBefore: count,
   reason: v.optional(takenBackReasonSchema),
   evidence: v.optional(
@@ -58,5 +56,4 @@
     [],
   ),
 });
-/** See {@link moveRecordSchema}. */
 export type MoveRecord = v.InferOutput<typeof moveRecordSchema>;
--- a/packages/decisions/src/moves/move_steps.ts
+++ b/packages/decisions/src/moves/move_steps.ts
@@ -1,25 +1,26 @@
 /**
- * The next step of a move, worked out from its record, the evidence and the
- * time: whoever holds the move's lease computes it and writes it by
- * compare-and-swap.
+ * Computes the next step of a move from its record, the evidence and the time.
+ * The holder of the move's lease writes the result by compare-and-swap.
  *
- * Answers versions that are bad later or under load only, engines that come
- * late or have less room, and an outage of the key-value service over the
- * deadline. Without steps a bad version takes all traffic; without the rule at
- * the deadline an outage leaves a move half done.
+ * Guards against versions that only fail later or under load, engines that
+ * start late or have less capacity, and an outage of the key-value service
+ * around the deadline. Without steps a bad version would receive all traffic;
+ * without the rule at the deadline an outage would leave a move half done.
  *
- * How a move ends: `complete` may only be written until a guard time before the
- * deadline. A record that is not complete at the deadline is taken back, by
- * rule, at every process that knows it, with or without the key-value service.
- * What a good version loses by an outage over the deadline is this one move.
+ * The phase `complete` may only be written until a guard time before the
+ * deadline. A move whose record is not complete at the deadline counts as taken
+ * back at every process that knows it, with or without the key-value service. A
+ * good version loses no more by an outage around the deadline than this one
+ * move.
  *
- * Figures: the guard is 20 s: 12 s for a record to reach every process, 2 s
- * for a call's timeout, 5 s for a write that the service applies after the
- * timeout, and 1 s between two processes' clocks. Trial, a tenth, a quarter and a half:
- * at a half each event weighs most, and beyond it the old version gives too
- * few calls to compare with, so the move completes from there. A step lasts its
- * share of the time left, ten minutes at most, since badness that comes later
- * than that would come after the move as well.
+ * The guard time of 20 s consists of 12 s for a record to reach every process,
+ * 2 s for the timeout of a call, 5 s for a write that the service applies after
+ * the timeout, and 1 s between the clocks of two processes. The shares are
+ * those of the trial, a tenth, a quarter and a half. At a half each event
+ * carries the most evidence; beyond it the old version gets too few calls for a
+ * comparison, so the move completes from there. A step lasts its part of the
+ * remaining time, but ten minutes at most, since a fault that appears later
+ * than that would appear after the move as well.
  * @module
  */
 import type { RouteEvidence } from "./evidence.ts";
@@ -28,29 +29,35 @@
 import type { MoveEvent } from "./move_machine.ts";
 import type { MoveRecord, TakenBackReason } from "./move_record.ts";
 
-/** Milliseconds before the deadline after which a move cannot complete. */
+/**
+ * Milliseconds before the deadline from which a move can't complete any more.
+ */
 export const COMPLETION_GUARD = 20_000;
 
 const RAISED_SHARES = [0.1, 0.25, 0.5] as const;
-const STEPS_IN_ALL = 1 + RAISED_SHARES.length;
-const LONGEST_STEP = 600_000;
+const STEP_COUNT = 1 + RAISED_SHARES.length;
+/** Maximum milliseconds of a step with sufficient evidence. */
+const MAXIMUM_STEP_DURATION = 600_000;
 
-/** Ended calls on the new version that let a step end at its time. */
+/** Ended calls of the new version that make a step's evidence sufficient. */
 const CALLS_PER_STEP = 100;
 
-/** What the driver knows beside the record. */
+/** Input of {@link nextStep} in addition to the record. */
 export type MoveInputs = {
   verdict: MoveVerdict;
-  /** Per route since the move began. */
+  /** Counts of each route since the move began. */
   evidence: readonly RouteEvidence[];
-  /** Largest share of the present requests that the new version can carry. */
+  /** Largest share of the current requests that the new version can carry. */
   room: number;
 };
 
-/** How a move stands for one process. */
+/** Outcome of a move, or `running`. */
 export type MoveOutcome = "running" | "complete" | "takenBack";
 
-/** The end that holds at `now`, also for a copy that cannot be renewed. */
+/**
+ * Returns the outcome that applies at `now`, also for a copy of the record that
+ * can't be refreshed.
+ */
 export function effectiveOutcome(
   record: Pick<MoveRecord, "phase" | "deadline">,
   now: number,
@@ -62,51 +69,58 @@
   return "running";
 }
 
-/** The share that entries apply at `now`. */
+/**
+ * Returns the share of requests that entries send to the new version at `now`.
+ */
 export function effectiveShare(record: MoveRecord, now: number): number {
-  const end = effectiveOutcome(record, now);
-  if (end === "complete") return 1;
-  return end === "takenBack" ? 0 : record.share;
+  const outcome = effectiveOutcome(record, now);
+  if (outcome === "complete") return 1;
+  return outcome === "takenBack" ? 0 : record.share;
 }
 
-/** The record to write now; undefined when the present one stands. */
+/** Returns the record to write now, or `undefined` if nothing changes. */
 export function nextStep(
   record: MoveRecord,
-  facts: MoveInputs,
+  inputs: MoveInputs,
   now: number,
 ): MoveRecord | undefined {
   if (record.phase === "complete" || record.phase === "takenBack") {
     return undefined;
   }
-  const reason = reasonToTakeBack(record, facts, now);
+  const reason = reasonToTakeBack(record, inputs, now);
   if (reason !== undefined) {
-    return advance(record, facts, { event: "takeBack", share: 0, now, reason });
+    return advance(record, inputs, {
+      event: "takeBack",
+      share: 0,
+      now,
+      reason,
+    });
   }
   if (record.phase === "pending") {
     const event = "start";
     const share = record.trialShare;
-    const ready = facts.room >= share;
-    return ready ? advance(record, facts, { event, share, now }) : undefined;
+    const ready = inputs.room >= share;
+    return ready ? advance(record, inputs, { event, share, now }) : undefined;
   }
-  if (!stepIsOver(record, facts, now)) return undefined;
+  if (!isStepComplete(record, inputs, now)) return undefined;
   const next = record.phase === "trial" ? 0 : record.step + 1;
   const share = RAISED_SHARES[next] ?? 1;
-  if (facts.room < share) return undefined;
+  if (inputs.room < share) return undefined;
   const event = next < RAISED_SHARES.length ? "raise" : "finish";
-  return advance(record, facts, { event, share, now, step: next });
+  return advance(record, inputs, { event, share, now, step: next });
 }
 
 function reasonToTakeBack(
   record: MoveRecord,
-  facts: MoveInputs,
+  inputs: MoveInputs,
   now: number,
 ): TakenBackReason | undefined {
-  if (facts.verdict.kind === "bad") return facts.verdict.reason;
+  if (inputs.verdict.kind === "bad") return inputs.verdict.reason;
   if (now <= record.deadline - COMPLETION_GUARD) return undefined;
-  if (record.phase === "pending" || facts.room < nextShare(record)) {
+  if (record.phase === "pending" || inputs.room < nextShare(record)) {
     return "no_room";
   }
-  return endedOnNew(facts) === 0 ? "no_evidence" : "deadline";
+  return newVersionCalls(inputs) === 0 ? "no_evidence" : "deadline";
 }
 
 function nextShare(record: MoveRecord): number {
@@ -115,40 +129,44 @@
 }
 
 /**
- * A step is over when its time has passed and enough calls ended. With little
- * traffic it lasts longer, as far as the steps that are left allow.
+ * Whether the time of the step has passed and enough calls ended. With little
+ * traffic a step may take longer, within the time that is left for the
+ * remaining steps.
  */
-function stepIsOver(
+function isStepComplete(
   record: MoveRecord,
-  facts: MoveInputs,
+  inputs: MoveInputs,
   now: number,
 ): boolean {
-  const done = record.phase === "trial" ? 0 : record.step + 1;
-  const left = record.deadline - COMPLETION_GUARD - record.since;
-  const allotted = left / (STEPS_IN_ALL - done);
+  const completedSteps = record.phase === "trial" ? 0 : record.step + 1;
+  const remaining = record.deadline - COMPLETION_GUARD - record.since;
+  const allotted = remaining / (STEP_COUNT - completedSteps);
   const elapsed = now - record.since;
-  const ended = endedOnNew(facts) - record.endedBefore;
+  const ended = newVersionCalls(inputs) - record.endedBefore;
   if (ended >= CALLS_PER_STEP) {
-    return elapsed >= Math.min(allotted * FULL_EVIDENCE_TIME, LONGEST_STEP);
+    return elapsed >=
+      Math.min(allotted * FULL_EVIDENCE_TIME, MAXIMUM_STEP_DURATION);
   }
-  const late = elapsed >= allotted * SPARSE_EVIDENCE_TIME;
-  return late && endedOnNew(facts) > 0;
+  const isLate = elapsed >= allotted * SPARSE_EVIDENCE_TIME;
+  return isLate && newVersionCalls(inputs) > 0;
 }
 
 /**
- * Parts of the time that a step may take. With 0.9 the last one ended within the
- * driver's period of the guard, and good versions were taken back by chance.
+ * Parts of its allotted time after which a step with sufficient, or with
+ * little, evidence ends. With 0.9 the last step could end within one period of
+ * the driver before the guard time, and good versions were occasionally taken
+ * back.
  */
 const FULL_EVIDENCE_TIME = 0.5;
 const SPARSE_EVIDENCE_TIME = 0.6;
 
-function endedOnNew(facts: MoveInputs): number {
-  return facts.evidence.reduce((sum, route) => sum + route.to.ended, 0);
+function newVersionCalls(inputs: MoveInputs): number {
+  return inputs.evidence.reduce((sum, route) => sum + route.to.ended, 0);
 }
 
 function advance(
   record: MoveRecord,
-  facts: MoveInputs,
+  inputs: MoveInputs,
   options: {
     event: MoveEvent;
     share: number;
@@ -163,8 +181,8 @@
     share: options.share,
     step: options.step ?? 0,
     since: options.now,
-    endedBefore: endedOnNew(facts),
+    endedBefore: newVersionCalls(inputs),
     reason: options.reason,
-    evidence: [...facts.evidence],
+    evidence: [...inputs.evidence],
   };
 }
--- a/packages/decisions/src/moves/running_quantile.ts
+++ b/packages/decisions/src/moves/running_quantile.ts
@@ -1,13 +1,16 @@
-/** A quantile that follows its values without storing them. @module */
+/** Estimates a quantile without storing the values. @module */
 
 const STEP = 0.05;
 
-/** Moves up by a little for larger values, down by less for smaller ones. */
+/**
+ * A larger value raises the estimate by up to 5 %, a smaller one lowers it,
+ * weighted so that it settles at the quantile.
+ */
 export class RunningQuantile {
   readonly #quantile: number;
   #value: number | undefined;
 
-  /** `quantile` lies between 0 and 1. */
+  /** `quantile` is between 0 and 1. */
   constructor(quantile: number) {
     this.#quantile = quantile;
   }
--- a/packages/decisions/src/moves/version_failure_detector.ts
+++ b/packages/decisions/src/moves/version_failure_detector.ts
@@ -1,48 +1,60 @@
 /**
- * Lets a sidecar stop the version beside it on its own calls, within a few of
- * them. It sees all calls of its server and none of the old version's, so it
- * cannot tell a bad version from a trouble that both share: it holds back, and
- * the move's driver, who sees both, condemns or releases. An entry at 330
- * entries sees too few calls of a version on trial to stop it within a second.
+ * Lets a sidecar stop the new version at its own server after a few failed
+ * calls. A sidecar sees all calls of its server and none of the old version's,
+ * so it can't distinguish a bad version from a fault that affects both: it
+ * stops the version for the time being, and the move's driver, which sees both,
+ * takes the move back or lets it go on. In a fleet of 330 entries, each entry
+ * sees too few calls of a version on trial to stop it within a second.
  *
- * Figures: one failure in twenty is taken for ordinary. Three failures in a row
- * on one route reach the alarm; the floor keeps a good hour from hiding a bad
- * minute.
+ * A failure rate of one in twenty is considered normal. Three failures in a row
+ * on one route reach the alarm threshold. The lower bound of the evidence
+ * prevents a good hour from hiding a bad minute.
  * @module
  */
 
-const ORDINARY_SHARE = 0.05;
-const BAD_SHARES = [0.3, 0.6, 0.95] as const;
-const ALARM = 1000;
+const NORMAL_FAILURE_RATE = 0.05;
+const BAD_FAILURE_RATES = [0.3, 0.6, 0.95] as const;
+const ALARM_THRESHOLD = 1000;
 const LOWEST_LOG_EVIDENCE = -Math.log(20);
 
-/** Failures of one version at one backend server. */
+/** Detects failures of one version at one backend server. */
 export class VersionFailureDetector {
   readonly #routes = new Map<string, number[]>();
-  #heldFor: string | undefined;
+  #failingRoute: string | undefined;
 
-  /** The route whose failures made the sidecar hold back. */
+  /** The route whose failures reached the alarm threshold. */
   get failingRoute(): string | undefined {
-    return this.#heldFor;
+    return this.#failingRoute;
   }
 
-  /** States the end of a call; failures of the request's making don't count. */
+  /**
+   * Records an ended call; `failed` is false if the request was at fault.
+   */
   recordCall(route: string, failed: boolean): void {
-    const logs = this.#routes.get(route) ?? BAD_SHARES.map(() => 0);
-    this.#routes.set(route, logs);
-    for (const [index, share] of BAD_SHARES.entries()) {
+    const logEvidence = this.#routes.get(route) ??
+      BAD_FAILURE_RATES.map(() => 0);
+    this.#routes.set(route, logEvidence);
+    for (const [index, rate] of BAD_FAILURE_RATES.entries()) {
       const change = failed
-        ? Math.log(share / ORDINARY_SHARE)
-        : Math.log((1 - share) / (1 - ORDINARY_SHARE));
-      logs[index] = Math.max(logs[index]! + change, LOWEST_LOG_EVIDENCE);
+        ? Math.log(rate / NORMAL_FAILURE_RATE)
+        : Math.log((1 - rate) / (1 - NORMAL_FAILURE_RATE));
+      logEvidence[index] = Math.max(
+        logEvidence[index]! + change,
+        LOWEST_LOG_EVIDENCE,
+      );
+    }
+    const sum = logEvidence.reduce((sum, log) => sum + Math.exp(log), 0);
+    if (sum / logEvidence.length >= ALARM_THRESHOLD) {
+      this.#failingRoute ??= route;
     }
-    const sum = logs.reduce((sum, log) => sum + Math.exp(log), 0);
-    if (sum / logs.length >= ALARM) this.#heldFor ??= route;
   }
 
-  /** Serves again: the driver found that the old version fails as well. */
+  /**
+   * Clears the evidence and the alarm, as after a failure that affects the old
+   * version as well.
+   */
   reset(): void {
-    this.#heldFor = undefined;
+    this.#failingRoute = undefined;
     this.#routes.clear();
   }
 }
--- a/packages/decisions/src/moves/version_split.ts
+++ b/packages/decisions/src/moves/version_split.ts
@@ -1,34 +1,39 @@
 /**
- * Which version a request gets while a move runs, decided at each entry.
+ * Selects the version for each request of a service during a move, at one
+ * entry.
  *
- * Bounds what a bad version receives: by share, by count while it is on trial,
- * and by the calls that have not ended. Without the last, a version that hangs
- * shows nothing and collects its full share until the first deadlines pass.
+ * Limits what a bad version receives: by its share, by a number of requests
+ * while it is on trial, and by the number of calls in flight. Without the last
+ * limit, a version that hangs would show no failures and would receive its full
+ * share until the first deadlines pass.
  *
- * The share is kept exactly by carrying the remainder over, so that few
- * requests neither miss the new version nor hit it in a row by chance. The
- * first remainder is random: else 330 entries would send nothing for their
- * first 50 requests and then all at once.
+ * The remainder of the share is carried over from request to request, so that
+ * with few requests the new version is neither left out nor selected several
+ * times in a row by chance. The first remainder is random: otherwise 330
+ * entries would all send nothing for their first 50 requests and then one
+ * request at the same time.
  * @module
  */
 
-/** Calls in flight on the new version, per entry, while it is on trial. */
-const MOST_UNENDED_ON_TRIAL = 8;
+/**
+ * Maximum calls in flight on the new version for each entry during the trial.
+ */
+const MAXIMUM_IN_FLIGHT_ON_TRIAL = 8;
 
-/** What the move's record allows now. */
+/** Limits from the move's record. */
 export type SplitBounds = {
   /** Share of requests for the new version, 0 to 1. */
   share: number;
-  /** Requests that this entry may still send on trial; absent afterwards. */
+  /** Maximum requests of this entry during the trial; absent afterwards. */
   trialRequests?: number | undefined;
 };
 
-/** Splits one service's requests between two versions. */
+/** Splits the requests of one service between two versions. */
 export class VersionSplit {
   #remainder: number;
   #bounds: SplitBounds = { share: 0 };
   #sent = 0;
-  #unended = 0;
+  #inFlight = 0;
   #stopped = false;
 
   /** `firstRemainder` is random in [0, 1). */
@@ -36,12 +41,15 @@
     this.#remainder = firstRemainder;
   }
 
-  /** Takes over the bounds of the move's present step. */
+  /** Applies the limits of the move's current step. */
   setBounds(bounds: SplitBounds): void {
     this.#bounds = bounds;
   }
 
-  /** Sends nothing more, on own evidence, before any record says so. */
+  /**
+   * Stops sending requests to the new version, on this entry's own evidence and
+   * before any record says so.
+   */
   stop(): void {
     this.#stopped = true;
   }
@@ -50,36 +58,39 @@
     return this.#stopped;
   }
 
-  /** Requests sent to the new version. */
+  /** Number of requests sent to the new version. */
   get sent(): number {
     return this.#sent;
   }
 
-  /** Decides for the next request. */
+  /** Returns the version for the next request. */
   choose(): "from" | "to" {
     if (this.#stopped) return "from";
     this.#remainder = Math.min(this.#remainder + this.#bounds.share, 2);
-    if (this.#remainder < 1 || !this.#mayTry()) return "from";
+    if (this.#remainder < 1 || !this.#isWithinTrialLimits()) return "from";
     this.#remainder--;
     this.#sent++;
-    this.#unended++;
+    this.#inFlight++;
     return "to";
   }
 
-  /** States the end, of whatever kind, of a request that was sent to `to`. */
+  /** Records that a request to the new version ended, in whatever way. */
   requestEnded(): void {
-    this.#unended = Math.max(this.#unended - 1, 0);
+    this.#inFlight = Math.max(this.#inFlight - 1, 0);
   }
 
-  #mayTry(): boolean {
+  #isWithinTrialLimits(): boolean {
     const { trialRequests } = this.#bounds;
     if (trialRequests === undefined) return true;
     return this.#sent < trialRequests &&
-      this.#unended < MOST_UNENDED_ON_TRIAL;
+      this.#inFlight < MAXIMUM_IN_FLIGHT_ON_TRIAL;
   }
 }
 
-/** One entry's part of the trial's requests; never zero, so each can show. */
+/**
+ * Returns one entry's portion of the trial's requests; at least 1, so that
+ * every entry can detect failures.
+ */
 export function trialRequestsPerEntry(total: number, entries: number): number {
   return Math.max(1, Math.floor(total / Math.max(entries, 1)));
 }
--- a/packages/decisions/test/move_fixtures.ts
+++ b/packages/decisions/test/move_fixtures.ts
@@ -1,4 +1,4 @@
-/** Records, evidence and random numbers of the tests of moves. @module */
+/** Records, evidence and random numbers for the tests of moves. @module */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { MoveInputs, MoveRecord, RouteEvidence } from "../src/mod.ts";
@@ -40,7 +40,7 @@
 
 export function factsWith(ended: number, room = 1): MoveInputs {
   return {
-    verdict: { kind: "open" },
+    verdict: { kind: "undecided" },
     evidence: [evidence("chat", [1000, 0, 0], [ended, 0, 0])],
     room,
   };
--- a/packages/decisions/test/move_judge_test.ts
+++ b/packages/decisions/test/move_judge_test.ts
@@ -9,10 +9,10 @@
 } from "../src/mod.ts";
 import { createRandom, evidence } from "./move_fixtures.ts";
 
-t.test("three failures of the new version alone condemn it", (t) => {
+t.test("three failures on the new version only reject it", (t) => {
   const judge = new MoveJudge();
   for (let second = 0; second < 3; second++) {
-    t.equal(judge.verdict.kind, "open");
+    t.equal(judge.verdict.kind, "undecided");
     judge.observe([
       evidence("chat", [49, 0, 5], [1, 1, 0]),
       evidence("tags", [49, 0, 5], [1, 0, 0]),
@@ -22,10 +22,8 @@
   t.end();
 });
 
-t.test("a trouble that both versions share condemns neither", (t) => {
-  // The engines' weight store stalls while a good version is on trial: a third
-  // of all calls fail and most are slow, on both versions alike. A threshold
-  // on errors takes the good version back.
+t.test("a fault that affects both versions does not reject the new one", (t) => {
+  // A stalled weight store fails both versions; the new one is not to blame.
   const judge = new MoveJudge();
   const random = createRandom(7);
   for (let second = 0; second < 600; second++) {
@@ -37,18 +35,18 @@
     };
     judge.observe([evidence("chat", of(40), of(4))], second * 1000);
   }
-  t.equal(judge.verdict.kind, "open");
+  t.equal(judge.verdict.kind, "undecided");
   t.end();
 });
 
-t.test("a version that turns slow after an hour is found in seconds", (t) => {
+t.test("a version that turns slow after an hour is rejected within seconds", (t) => {
   const judge = new MoveJudge();
   let second = 0;
   for (; second < 3600; second++) {
     judge.observe([evidence("chat", [20, 0, 2], [20, 0, 2])], second * 1000);
   }
-  t.equal(judge.verdict.kind, "open");
-  while (judge.verdict.kind === "open" && second < 3700) {
+  t.equal(judge.verdict.kind, "undecided");
+  while (judge.verdict.kind === "undecided" && second < 3700) {
     judge.observe([evidence("chat", [20, 0, 2], [20, 0, 14])], second * 1000);
     second++;
   }
@@ -57,7 +55,7 @@
   t.end();
 });
 
-t.test("little traffic weighs a call against the old version's minute", (t) => {
+t.test("with little traffic a call is compared with the old version's last minute", (t) => {
   const judge = new MoveJudge();
   for (let second = 0; second < 400; second++) {
     const to: [number, number, number] = second % 100 === 99
@@ -65,21 +63,20 @@
       : [0, 0, 0];
     judge.observe([evidence("quote", [1, 0, 0], to)], second * 1000);
   }
-  t.equal(judge.endedOnNew, 4);
+  t.equal(judge.newVersionCalls, 4);
   t.equal(judge.verdict.kind, "bad");
   t.end();
 });
 
-t.test("good versions are rarely condemned", (t) => {
-  // Sizes of the trial: 300 moves, each of 2000 s at 10 calls a second on each
-  // of two routes, one call in fifty failing on both versions.
+t.test("good versions are rarely rejected", (t) => {
+  // 300 moves of 2000 s; 10 calls a second on each route, one in fifty fails.
   const random = createRandom(11);
   const hits = (calls: number, share: number) => {
     let count = 0;
     for (let call = 0; call < calls; call++) if (random() < share) count++;
     return count;
   };
-  let condemned = 0;
+  let rejected = 0;
   for (let move = 0; move < 300; move++) {
     const judge = new MoveJudge();
     for (let second = 0; second < 2000; second += 10) {
@@ -97,13 +94,13 @@
         second * 1000,
       );
     }
-    if (judge.verdict.kind === "bad") condemned++;
+    if (judge.verdict.kind === "bad") rejected++;
   }
-  t.ok(condemned <= 3, `${condemned} of 300`);
+  t.ok(rejected <= 3, `${rejected} of 300`);
   t.end();
 });
 
-t.test("a slow call is one over the old version's threshold", (t) => {
+t.test("a call above the old version's threshold counts as slow", (t) => {
   const tally = new EvidenceCollector();
   for (let call = 0; call < 500; call++) {
     const slowness = 1 + (call % 10) / 10;
@@ -121,7 +118,7 @@
   t.end();
 });
 
-t.test("a split keeps its share, its count and what has not ended", (t) => {
+t.test("a split keeps to its share, request limit and limit of calls in flight", (t) => {
   fc.assert(
     fc.property(
       fc.double({ min: 0, max: 1, noNaN: true }),
@@ -154,7 +151,7 @@
   t.ok(Math.abs(split.sent - 100) <= 1);
   split.stop();
   split.setBounds({ share: 1 });
-  t.equal(split.choose(), "from", "stopped before any record says so");
+  t.equal(split.choose(), "from", "stopped on the entry's own evidence");
   t.equal(trialRequestsPerEntry(200, 330), 1);
   t.end();
 });
--- a/packages/decisions/test/move_steps_test.ts
+++ b/packages/decisions/test/move_steps_test.ts
@@ -12,7 +12,7 @@
 import type { MoveInputs, MoveRecord } from "../src/mod.ts";
 import { factsWith, record } from "./move_fixtures.ts";
 
-t.test("a good version completes step by step before the guard", (t) => {
+t.test("a move to a good version completes in steps before the guard time", (t) => {
   let current = record;
   const shares: number[] = [];
   for (let now = 0; now < record.deadline; now += 1000) {
@@ -28,7 +28,7 @@
   t.end();
 });
 
-t.test("little traffic completes on time with the evidence there is", (t) => {
+t.test("a move with little traffic completes in time", (t) => {
   let current = record;
   for (let now = 0; now < record.deadline; now += 1000) {
     const ended = Math.floor(now / 60_000);
@@ -38,7 +38,7 @@
   t.end();
 });
 
-t.test("a bad version is taken back and nothing follows", (t) => {
+t.test("a move to a bad version is taken back, which is final", (t) => {
   const bad: MoveInputs = {
     ...factsWith(10),
     verdict: {
@@ -56,7 +56,7 @@
   t.end();
 });
 
-t.test("missing room or evidence takes a move back at the guard", (t) => {
+t.test("a move without capacity or evidence is taken back at the guard time", (t) => {
   const late = record.deadline - COMPLETION_GUARD + 1;
   const withoutRoom = factsWith(0, 0);
   t.equal(nextStep(record, withoutRoom, late - 1), undefined);
@@ -67,10 +67,8 @@
   t.end();
 });
 
-t.test("an outage over the deadline ends the move alike everywhere", (t) => {
-  // The key-value service goes down while a move is at a quarter. Its driver
-  // cannot write, some entries hold an older copy, and the deadline passes.
-  // Without a rule each process would go on with the share that it last read.
+t.test("after an outage at the deadline all processes agree on the outcome", (t) => {
+  // Without the rule, each process would keep the share that it read last.
   const trial = nextStep(record, factsWith(0), 0)!;
   const raising: MoveRecord = { ...trial, phase: "raising", share: 0.25 };
   for (const copy of [record, trial, raising]) {
@@ -83,7 +81,7 @@
   t.end();
 });
 
-t.test("no driver writes complete within the guard, whatever it knows", (t) => {
+t.test("no driver completes a move within the guard time", (t) => {
   const phase = fc.constantFrom<MoveRecord["phase"]>(
     "pending",
     "trial",
@@ -112,7 +110,7 @@
   t.end();
 });
 
-t.test("a sidecar holds back after three failures until released", (t) => {
+t.test("three failures in a row are detected until the reset", (t) => {
   const hold = new VersionFailureDetector();
   for (let call = 0; call < 1000; call++) {
     hold.recordCall("chat", call % 50 === 0);
@@ -126,10 +124,8 @@
   t.end();
 });
 
-t.test("a driver that looks seldom still completes a short move", (t) => {
-  // A good version is taken back at its deadline on a busy machine: each step
-  // used nearly all of its time, and the driver came to the last one just
-  // after the guard had begun.
+t.test("a driver with a long period completes a short move", (t) => {
+  // Steps that use all of their time reach the guard if the driver is slow.
   const short: MoveRecord = { ...record, deadline: 50_000 };
   for (const every of [1000, 2500, 4000]) {
     let current = short;
