--- a/packages/decisions/src/ejection/decaying_count.ts
+++ b/packages/decisions/src/ejection/decaying_count.ts
@@ -1,13 +1,13 @@
-/** Counts that forget. @module */
+/** Exponentially decaying counts. @module */
 
-/** Time, milliseconds, in which a count falls to about a third. */
-export const COUNT_MEMORY = 10_000;
+/** Milliseconds in which a count decays to 1/e, about a third. */
+export const COUNT_TIME_CONSTANT = 10_000;
 
-/** Successes and failures of the last seconds. */
+/** Recent successes and failures. */
 export class DecayingCount {
   #successes = 0;
   #failures = 0;
-  #at = 0;
+  #updatedAt = 0;
 
   add(kind: "success" | "failure", now: number): void {
     this.#decay(now);
@@ -25,8 +25,10 @@
     return this.#successes + this.#failures;
   }
 
-  /** Moves everything counted here out of `sum`, which had counted it too. */
-  takeOutOf(sum: DecayingCount, now: number): void {
+  /**
+   * Subtracts these counts from `sum`, which includes them, and resets them.
+   */
+  moveOutOf(sum: DecayingCount, now: number): void {
     this.#decay(now);
     sum.#decay(now);
     sum.#successes = Math.max(sum.#successes - this.#successes, 0);
@@ -36,11 +38,11 @@
   }
 
   #decay(now: number): void {
-    const elapsed = now - this.#at;
+    const elapsed = now - this.#updatedAt;
     if (elapsed <= 0) return;
-    const factor = Math.exp(-elapsed / COUNT_MEMORY);
+    const factor = Math.exp(-elapsed / COUNT_TIME_CONSTANT);
     this.#successes *= factor;
     this.#failures *= factor;
-    this.#at = now;
+    this.#updatedAt = now;
   }
 }
--- a/packages/decisions/src/ejection/mod.ts
+++ b/packages/decisions/src/ejection/mod.ts
@@ -1,3 +1,3 @@
-/** Servers left out for failures and slowness. @module */
-export { LARGEST_EJECTED_SHARE, OutlierEjection } from "./ejection.ts";
-export type { FailureReason } from "./server_record.ts";
+/** Exclusion of servers that fail or are slow. @module */
+export { MAXIMUM_EJECTED_SHARE, OutlierEjection } from "./ejection.ts";
+export type { FailureReason } from "./server_health.ts";
--- a/packages/decisions/src/ejection/running_median.ts
+++ b/packages/decisions/src/ejection/running_median.ts
@@ -1,8 +1,11 @@
-/** A median that follows its values without storing them. @module */
+/** Estimates a median without storing the values. @module */
 
 const STEP = 0.02;
 
-/** Moves by 2 % towards each value: some 50 values move it by a factor of e. */
+/**
+ * Each value moves the estimate by 2 %; about 50 values move it by a factor of
+ * e.
+ */
 export class RunningMedian {
   #value: number | undefined;
 
--- a/packages/decisions/src/ejection/server_record.ts
+++ b/packages/decisions/src/ejection/server_health.ts
@@ -1,35 +1,35 @@
-/** What ejection remembers of one backend server. @module */
+/** What outlier ejection knows about one backend server. @module */
 import { DecayingCount } from "./decaying_count.ts";
 
-/** Why a server's call counts as failed. */
+/** Why a call to a server counts as failed. */
 export type FailureReason = "error" | "timeout" | "crash";
 
-/** Weight of the newest observation in a server's slowness. */
+/** Weight of the newest observation in the average slowness. */
 const SLOWNESS_WEIGHT = 0.2;
 
-/** Counts, slowness and the state of leaving out. */
-export class ServerRecord {
+/** Counts, slowness and ejection state. */
+export class ServerHealth {
   readonly counts = new DecayingCount();
-  /** Moving average of measured time over expected time. */
+  /** Moving average of the measured time divided by the expected time. */
   slowness: number | undefined;
   observations = 0;
   state: "included" | "ejected" | "trial" = "included";
-  /** Ejections in a row, each lasting twice as long as the one before. */
+  /** Consecutive ejections; each lasts twice as long as the previous one. */
   ejections = 0;
   ejectedUntil = 0;
   readmittedAt = Infinity;
-  /** Clean calls since the trial began. */
-  cleanTrials = 0;
+  /** Successful calls since the trial began. */
+  successfulTrials = 0;
   trialRunningUntil = -Infinity;
 
-  observeSlowness(ratio: number): void {
+  recordSlowness(ratio: number): void {
     this.observations++;
     this.slowness = this.slowness === undefined
       ? ratio
       : this.slowness + SLOWNESS_WEIGHT * (ratio - this.slowness);
   }
 
-  forgetSlowness(): void {
+  resetSlowness(): void {
     this.slowness = undefined;
     this.observations = 0;
   }
--- /dev/null
+++ b/packages/decisions/src/suspects/fingerprint_status.ts
@@ -0,0 +1,40 @@
+/** Status of a fingerprint, and its exchange between entries. @module */
+
+/** A fingerprint's status as sent to other entries. */
+export type SuspectStatement = {
+  fingerprint: string;
+  kind: "clear" | "suspect" | "quarantined";
+  /** Increases with each change at any entry; the highest one applies. */
+  revision: number;
+  /**
+   * Number of crashes during which a request with this fingerprint was running.
+   */
+  crashes: number;
+  /** Remaining validity in milliseconds, at the time of sending. */
+  remaining: number;
+};
+
+/** A status that expires at an instant of the local clock. */
+export type FingerprintStatus = {
+  kind: SuspectStatement["kind"];
+  revision: number;
+  crashes: number;
+  expiresAt: number;
+};
+
+const SEVERITY = { clear: 0, suspect: 1, quarantined: 2 } as const;
+
+/**
+ * Whether the statement replaces the current status; at equal revisions the
+ * more severe one does.
+ */
+export function supersedes(
+  statement: SuspectStatement,
+  current: FingerprintStatus | undefined,
+): boolean {
+  if (current === undefined || statement.revision > current.revision) {
+    return true;
+  }
+  if (statement.revision < current.revision) return false;
+  return SEVERITY[statement.kind] > SEVERITY[current.kind];
+}
--- a/packages/decisions/src/suspects/mod.ts
+++ b/packages/decisions/src/suspects/mod.ts
@@ -1,4 +1,4 @@
-/** Requests that may crash backend servers. @module */
+/** Quarantine of requests that crash backend servers. @module */
 export { CrashSuspects } from "./suspects.ts";
 export type { SuspectVerdict } from "./suspects.ts";
-export type { SuspectStatement } from "./suspicion.ts";
+export type { SuspectStatement } from "./fingerprint_status.ts";
--- a/packages/decisions/src/suspects/suspects.ts
+++ b/packages/decisions/src/suspects/suspects.ts
@@ -1,96 +1,114 @@
 /**
- * Requests that may have crashed a backend server: one instance per service.
+ * Detects requests that crash backend servers ("queries of death"). One
+ * instance for each service.
  *
- * Answers the request that kills each server that runs it and is sent again by
- * its caller. Without it, one such request takes down the whole service, one
- * server after the other. What ran on a server when it died is suspect. A
- * suspect runs with nothing beside it and one at a time, so a further crash
- * takes one server and tells who did it: the second crash, if the suspect was
- * alone, quarantines it. A crash with others beside it never does, since an
- * innocent request that is sent often was beside both. A clean run clears.
+ * Such a request kills each server that runs it and is sent again by its
+ * caller, so it could take down the whole service, one server after the other.
+ * All requests that were running on a server when it crashed become suspects. A
+ * suspect runs alone on its server, and only one suspect runs at a time, so a
+ * further crash affects one server and identifies its cause: the second crash
+ * quarantines a suspect that was running alone. A crash with other requests
+ * running never does, since a harmless request that is sent often may have been
+ * running during both. A successful run clears a suspect.
  *
- * Figures: a suspicion lasts 10 minutes, longer than callers' resends. The
- * quarantine too; afterwards the fingerprint is a suspect again and risks one
- * server. 4096 fingerprints of about 150 bytes are held, half a megabyte; a
- * crash adds at most a server's batch, some 64.
+ * A suspicion lasts 10 minutes, longer than callers continue to retry. A
+ * quarantine lasts as long; afterwards the fingerprint is a suspect again and
+ * may crash one more server. 4096 fingerprints of about 150 bytes are kept,
+ * half a megabyte; a crash adds at most one batch of a server, about 64.
  * @module
  */
-import { supersedes } from "./suspicion.ts";
-import type { SuspectStatement, Suspicion } from "./suspicion.ts";
+import { supersedes } from "./fingerprint_status.ts";
+import type {
+  FingerprintStatus,
+  SuspectStatement,
+} from "./fingerprint_status.ts";
 
-/** How a request with the fingerprint is to be treated. */
+/**
+ * How a request with the fingerprint has to be handled; `retryAfter` in
+ * milliseconds.
+ */
 export type SuspectVerdict =
   | { kind: "clear" }
   | { kind: "suspect" }
   | { kind: "quarantined"; retryAfter: number };
 
+/** Milliseconds for which a fingerprint remains a suspect. */
 const SUSPICION_DURATION = 600_000;
+/** Milliseconds for which a fingerprint remains quarantined. */
 const QUARANTINE_DURATION = 600_000;
-/** A run whose end was never heard of gives its turn up after so long. */
-const RUN_LAPSE = 300_000;
-/** Entries hear of one crash over several links within so many milliseconds. */
-const SAME_CRASH_WINDOW = 10_000;
-const LARGEST_MEMORY = 4096;
-const LARGEST_CRASH_MEMORY = 256;
+/**
+ * Milliseconds after which a run whose end was not reported no longer blocks
+ * other suspects.
+ */
+const RUN_TIMEOUT = 300_000;
+/**
+ * Milliseconds within which reports of the same crash from several links are
+ * treated as one.
+ */
+const DUPLICATE_CRASH_WINDOW = 10_000;
+const MAXIMUM_FINGERPRINTS = 4096;
+const MAXIMUM_CRASHES = 256;
 
 type Crash = { at: number; fingerprints: ReadonlySet<string> };
 
-type Run = { fingerprint: string; backendServer: string; until: number };
+type Run = { fingerprint: string; backendServer: string; expiresAt: number };
 
-/** Suspicions, quarantines and the one suspect that is running. */
+/** Suspects, quarantined fingerprints and the one suspect that is running. */
 export class CrashSuspects {
-  /** Oldest change first. */
-  readonly #suspicions = new Map<string, Suspicion>();
+  /** Ordered by the last change, oldest first. */
+  readonly #statuses = new Map<string, FingerprintStatus>();
   /** Last crash of each server, oldest first. */
   readonly #crashes = new Map<string, Crash>();
   #run: Run | undefined;
 
-  /** How to treat a request with this fingerprint now. */
+  /** Returns how to handle a request with this fingerprint now. */
   verdict(fingerprint: string, now: number): SuspectVerdict {
-    const held = this.#held(fingerprint, now);
-    if (held === undefined || held.kind === "clear") return { kind: "clear" };
-    if (held.kind === "suspect") return { kind: "suspect" };
-    return { kind: "quarantined", retryAfter: held.until - now };
+    const status = this.#currentStatus(fingerprint, now);
+    if (status === undefined || status.kind === "clear") {
+      return { kind: "clear" };
+    }
+    if (status.kind === "suspect") return { kind: "suspect" };
+    return { kind: "quarantined", retryAfter: status.expiresAt - now };
   }
 
-  /** True when no other suspect is running, so that this one may. */
+  /** Whether no other suspect is running. */
   mayStartRun(now: number): boolean {
-    return this.#run === undefined || now >= this.#run.until;
+    return this.#run === undefined || now >= this.#run.expiresAt;
   }
 
-  /** Takes the turn to run a suspect; false when another has it. */
+  /** Reserves the run of a suspect; false if another one is running. */
   tryStartRun(
     fingerprint: string,
     backendServer: string,
     now: number,
   ): boolean {
     if (!this.mayStartRun(now)) return false;
-    this.#run = { fingerprint, backendServer, until: now + RUN_LAPSE };
+    this.#run = { fingerprint, backendServer, expiresAt: now + RUN_TIMEOUT };
     this.#crashes.delete(backendServer);
     return true;
   }
 
-  /** Gives the turn back without a verdict: cancelled, or never ran. */
+  /** Ends a run without a result: it was cancelled or never started. */
   cancelRun(fingerprint: string): void {
     if (this.#run?.fingerprint === fingerprint) this.#run = undefined;
   }
 
-  /** States a clean run, which clears the fingerprint. */
+  /** Records a successful run, which clears the fingerprint. */
   recordCleanRun(fingerprint: string, now: number): void {
     this.cancelRun(fingerprint);
-    const held = this.#held(fingerprint, now);
-    if (held?.kind !== "suspect") return;
+    const status = this.#currentStatus(fingerprint, now);
+    if (status?.kind !== "suspect") return;
     this.#store(fingerprint, {
       kind: "clear",
-      revision: held.revision + 1,
+      revision: status.revision + 1,
       crashes: 0,
-      until: now + SUSPICION_DURATION,
+      expiresAt: now + SUSPICION_DURATION,
     });
   }
 
   /**
-   * States that a server died while it ran these. The same crash, heard over
-   * several links, counts once.
+   * Records that a server crashed while it ran these requests. Reports of the
+   * same crash over several links count once.
    */
   recordCrash(
     fingerprints: readonly string[],
@@ -98,89 +116,108 @@
     now: number,
   ): void {
     if (this.#run?.backendServer === backendServer) this.#run = undefined;
-    const ran = new Set(fingerprints);
-    if (this.#alreadyCounted(ran, backendServer, now)) return;
+    const running = new Set(fingerprints);
+    if (this.#isDuplicate(running, backendServer, now)) return;
     this.#crashes.delete(backendServer);
-    this.#crashes.set(backendServer, { at: now, fingerprints: ran });
-    forgetOldest(this.#crashes, LARGEST_CRASH_MEMORY);
-    for (const fingerprint of ran) {
-      this.#suspect(fingerprint, ran.size === 1, now);
+    this.#crashes.set(backendServer, { at: now, fingerprints: running });
+    evictOldest(this.#crashes, MAXIMUM_CRASHES);
+    for (const fingerprint of running) {
+      this.#addCrash(fingerprint, running.size === 1, now);
     }
   }
 
-  /** What to tell peers: standings that hold now. */
+  /** Returns the statuses that are valid now, to be sent to peers. */
   statements(now: number): SuspectStatement[] {
     const statements: SuspectStatement[] = [];
-    for (const [fingerprint, held] of this.#suspicions) {
-      const { kind, revision, crashes, until } = held;
-      const remaining = until - now;
+    for (const [fingerprint, status] of this.#statuses) {
+      const { kind, revision, crashes, expiresAt } = status;
+      const remaining = expiresAt - now;
       if (remaining <= 0) continue;
       statements.push({ fingerprint, kind, revision, crashes, remaining });
     }
     return statements;
   }
 
-  /** Takes in what a peer tells; any order and repetition ends the same. */
+  /**
+   * Merges a peer's statements; the result does not depend on order or
+   * repetition.
+   */
   merge(statements: readonly SuspectStatement[], now: number): void {
     for (const statement of statements) {
       const { fingerprint, kind, revision, crashes, remaining } = statement;
-      const held = this.#held(fingerprint, now);
-      if (!supersedes(statement, held)) continue;
-      const until = now + remaining;
-      this.#store(fingerprint, { kind, revision, crashes, until });
+      const status = this.#currentStatus(fingerprint, now);
+      if (!supersedes(statement, status)) continue;
+      const expiresAt = now + remaining;
+      this.#store(fingerprint, { kind, revision, crashes, expiresAt });
     }
   }
 
-  /** True for a crash that was heard before, by its server and what it ran. */
-  #alreadyCounted(
-    ran: ReadonlySet<string>,
+  /**
+   * Whether this crash, identified by its server and the requests, was reported
+   * before.
+   */
+  #isDuplicate(
+    running: ReadonlySet<string>,
     backendServer: string,
     now: number,
   ): boolean {
     const last = this.#crashes.get(backendServer);
-    if (last === undefined || now - last.at >= SAME_CRASH_WINDOW) return false;
-    if (last.fingerprints.size !== ran.size) return false;
-    return [...ran].every((fingerprint) => last.fingerprints.has(fingerprint));
+    if (last === undefined || now - last.at >= DUPLICATE_CRASH_WINDOW) {
+      return false;
+    }
+    if (last.fingerprints.size !== running.size) return false;
+    return [...running].every((fingerprint) =>
+      last.fingerprints.has(fingerprint)
+    );
   }
 
-  #suspect(fingerprint: string, alone: boolean, now: number): void {
-    const held = this.#held(fingerprint, now);
-    const crashes = (held?.crashes ?? 0) + 1;
-    const convicted = alone && crashes >= 2;
+  #addCrash(fingerprint: string, alone: boolean, now: number): void {
+    const status = this.#currentStatus(fingerprint, now);
+    const crashes = (status?.crashes ?? 0) + 1;
+    const quarantined = alone && crashes >= 2;
     this.#store(fingerprint, {
-      kind: convicted ? "quarantined" : "suspect",
-      revision: (held?.revision ?? 0) + 1,
+      kind: quarantined ? "quarantined" : "suspect",
+      revision: (status?.revision ?? 0) + 1,
       crashes,
-      until: now + (convicted ? QUARANTINE_DURATION : SUSPICION_DURATION),
+      expiresAt: now + (quarantined ? QUARANTINE_DURATION : SUSPICION_DURATION),
     });
   }
 
-  /** The standing at `now`; a quarantine that ended is a suspicion again. */
-  #held(fingerprint: string, now: number): Suspicion | undefined {
-    const held = this.#suspicions.get(fingerprint);
-    if (held === undefined || now < held.until) return held;
-    if (held.kind !== "quarantined" || now >= held.until + SUSPICION_DURATION) {
-      this.#suspicions.delete(fingerprint);
+  /**
+   * Returns the status at `now`; a quarantine that has ended becomes a
+   * suspicion.
+   */
+  #currentStatus(
+    fingerprint: string,
+    now: number,
+  ): FingerprintStatus | undefined {
+    const status = this.#statuses.get(fingerprint);
+    if (status === undefined || now < status.expiresAt) return status;
+    if (
+      status.kind !== "quarantined" ||
+      now >= status.expiresAt + SUSPICION_DURATION
+    ) {
+      this.#statuses.delete(fingerprint);
       return undefined;
     }
-    const renewed: Suspicion = {
+    const renewed: FingerprintStatus = {
       kind: "suspect",
-      revision: held.revision + 1,
-      crashes: held.crashes,
-      until: held.until + SUSPICION_DURATION,
+      revision: status.revision + 1,
+      crashes: status.crashes,
+      expiresAt: status.expiresAt + SUSPICION_DURATION,
     };
     this.#store(fingerprint, renewed);
     return renewed;
   }
 
-  #store(fingerprint: string, suspicion: Suspicion): void {
-    this.#suspicions.delete(fingerprint);
-    this.#suspicions.set(fingerprint, suspicion);
-    forgetOldest(this.#suspicions, LARGEST_MEMORY);
+  #store(fingerprint: string, status: FingerprintStatus): void {
+    this.#statuses.delete(fingerprint);
+    this.#statuses.set(fingerprint, status);
+    evictOldest(this.#statuses, MAXIMUM_FINGERPRINTS);
   }
 }
 
-function forgetOldest<Value>(map: Map<string, Value>, largest: number): void {
+function evictOldest<Value>(map: Map<string, Value>, largest: number): void {
   if (map.size <= largest) return;
   const [oldest] = map.keys();
   if (oldest !== undefined) map.delete(oldest);
--- a/packages/decisions/test/ejection_test.ts
+++ b/packages/decisions/test/ejection_test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import t from "tap";
-import { LARGEST_EJECTED_SHARE, OutlierEjection } from "../src/mod.ts";
+import { MAXIMUM_EJECTED_SHARE, OutlierEjection } from "../src/mod.ts";
 
 function createEjection(count: number): OutlierEjection {
   const ejection = new OutlierEjection();
@@ -8,7 +8,7 @@
   return ejection;
 }
 
-t.test("never leaves out more than the share, whatever happens", (t) => {
+t.test("never excludes more than the maximum share of servers", (t) => {
   const event = fc.record({
     kind: fc.constantFrom(
       "error",
@@ -48,7 +48,7 @@
           const refused = [...present].filter((name) =>
             !ejection.allowed(name, now)
           );
-          const most = Math.floor(present.size * LARGEST_EJECTED_SHARE);
+          const most = Math.floor(present.size * MAXIMUM_EJECTED_SHARE);
           const bound = present.size < 2 ? 0 : Math.max(1, most);
           if (refused.length > bound || ejection.excluded.size > bound) {
             return false;
@@ -63,9 +63,8 @@
   t.end();
 });
 
-t.test("leaves out a server that fails fast and tries it again", (t) => {
-  // One engine answers each request with an error at once. It is always idle,
-  // so it wins the grants and most callers get errors.
+t.test("excludes a server that fails fast and readmits it after trials", (t) => {
+  // A server that fails each request at once is always idle and gets the most.
   const ejection = createEjection(4);
   for (let now = 0; now < 30; now += 10) {
     ejection.recordFailure("s0", "error", now);
@@ -74,11 +73,14 @@
   }
   t.notOk(ejection.allowed("s0", 30));
   t.ok(ejection.allowed("s1", 30));
-  t.ok(ejection.allowed("s0", 2100), "half-open");
+  t.ok(ejection.allowed("s0", 2100), "on trial");
   ejection.recordStart("s0", 2100);
-  t.notOk(ejection.allowed("s0", 2101), "one trial at a time");
+  t.notOk(ejection.allowed("s0", 2101), "one trial request at a time");
   ejection.recordFailure("s0", "error", 2110);
-  t.notOk(ejection.allowed("s0", 2110 + 3999), "twice as long");
+  t.notOk(
+    ejection.allowed("s0", 2110 + 3999),
+    "the second ejection lasts twice as long",
+  );
   const now = 2110 + 4000;
   for (let trial = 0; trial < 3; trial++) {
     t.ok(ejection.allowed("s0", now + trial));
@@ -89,7 +91,7 @@
   t.end();
 });
 
-t.test("a fault that all share leaves none out", (t) => {
+t.test("a fault of all servers excludes none", (t) => {
   const ejection = createEjection(4);
   for (let now = 0; now < 1000; now += 10) {
     const name = `s${(now / 10) % 4}`;
@@ -100,7 +102,7 @@
   t.end();
 });
 
-t.test("leaves out a server far slower than any generation", (t) => {
+t.test("excludes a server slower than hardware differences explain", (t) => {
   const ejection = createEjection(4);
   for (let now = 0; now < 1000; now += 10) {
     ejection.recordSuccess("s0", now, 12);
@@ -112,7 +114,7 @@
   t.end();
 });
 
-t.test("a server that fails only under load stays out longer each time", (t) => {
+t.test("each further ejection of a server that fails only under load lasts longer", (t) => {
   const ejection = createEjection(4);
   let now = 0;
   const outages: number[] = [];
--- a/packages/decisions/test/suspects_test.ts
+++ b/packages/decisions/test/suspects_test.ts
@@ -2,16 +2,18 @@
 import t from "tap";
 import { CrashSuspects } from "../src/mod.ts";
 
-t.test("the second crash while alone quarantines, a clean run clears", (t) => {
-  // A caller's request kills the engine that runs it and takes two others'
-  // requests with it. All three callers send theirs again.
+t.test("a second crash while alone quarantines, a successful run clears", (t) => {
+  // A request that crashes its engine makes its neighbours suspects as well.
   const suspects = new CrashSuspects();
   suspects.recordCrash(["poison", "first", "second"], "s0", 0);
   for (const fingerprint of ["poison", "first", "second"]) {
     t.equal(suspects.verdict(fingerprint, 1).kind, "suspect");
   }
   t.ok(suspects.tryStartRun("first", "s1", 1));
-  t.notOk(suspects.tryStartRun("poison", "s2", 2), "one at risk at a time");
+  t.notOk(
+    suspects.tryStartRun("poison", "s2", 2),
+    "one suspect runs at a time",
+  );
   suspects.recordCleanRun("first", 10);
   t.equal(suspects.verdict("first", 10).kind, "clear");
   t.ok(suspects.tryStartRun("poison", "s2", 11));
@@ -22,14 +24,14 @@
   });
   t.ok(
     suspects.tryStartRun("second", "s1", 14),
-    "the crash gave the turn back",
+    "the crash ended the run",
   );
   suspects.recordCleanRun("second", 15);
   t.equal(suspects.verdict("second", 15).kind, "clear");
   t.end();
 });
 
-t.test("a crash heard twice counts once", (t) => {
+t.test("a crash that is reported twice counts once", (t) => {
   const suspects = new CrashSuspects();
   suspects.recordCrash(["poison"], "s0", 0);
   suspects.recordCrash(["poison"], "s0", 5);
@@ -40,7 +42,7 @@
   t.end();
 });
 
-t.test("a popular request beside two crashes is not quarantined", (t) => {
+t.test("a frequent request that ran during two crashes is not quarantined", (t) => {
   const suspects = new CrashSuspects();
   suspects.recordCrash(["poison", "popular"], "s0", 0);
   suspects.recordCrash(["poison", "popular"], "s1", 1);
@@ -51,7 +53,7 @@
   t.end();
 });
 
-t.test("a quarantine ends as a suspicion, and a suspicion ends", (t) => {
+t.test("a quarantine becomes a suspicion, which expires", (t) => {
   const suspects = new CrashSuspects();
   suspects.recordCrash(["poison"], "s0", 0);
   suspects.tryStartRun("poison", "s1", 1);
@@ -62,7 +64,7 @@
   t.end();
 });
 
-t.test("only crashing requests are quarantined, after two servers", (t) => {
+t.test("only crashing requests are quarantined, after two crashes", (t) => {
   const arrival = fc.record({
     fingerprint: fc.integer({ min: 0, max: 9 }),
     server: fc.integer({ min: 0, max: 3 }),
@@ -88,7 +90,7 @@
             continue;
           }
           if (alone.has(server)) {
-            // What runs alone ends before anything else may start.
+            // The suspect that runs alone ends before another request starts.
             for (const done of batch) suspects.recordCleanRun(done, now);
             batch.clear();
             alone.delete(server);
@@ -114,22 +116,22 @@
   t.end();
 });
 
-t.test("peers that tell each other everything agree", (t) => {
+t.test("peers that exchange their statements agree", (t) => {
   const peers = [new CrashSuspects(), new CrashSuspects(), new CrashSuspects()];
   peers[0]!.recordCrash(["poison", "innocent"], "s0", 0);
-  const tell = (now: number) => {
+  const exchange = (now: number) => {
     for (const from of peers) {
       for (const to of peers) to.merge(from.statements(now), now);
     }
   };
-  tell(1);
+  exchange(1);
   t.equal(peers[1]!.verdict("poison", 2).kind, "suspect");
   peers[1]!.tryStartRun("poison", "s1", 2);
   peers[1]!.recordCrash(["poison"], "s1", 3);
   peers[2]!.tryStartRun("innocent", "s2", 3);
   peers[2]!.recordCleanRun("innocent", 4);
-  tell(5);
-  tell(6);
+  exchange(5);
+  exchange(6);
   for (const peer of peers) {
     t.equal(peer.verdict("poison", 7).kind, "quarantined");
     t.equal(peer.verdict("innocent", 7).kind, "clear");
@@ -137,7 +139,7 @@
   t.end();
 });
 
-t.test("memory stays bounded under ever new fingerprints", (t) => {
+t.test("the number of stored fingerprints is bounded", (t) => {
   const suspects = new CrashSuspects();
   for (let crash = 0; crash < 200; crash++) {
     const batch = Array.from({ length: 64 }, (_, index) => `${crash}/${index}`);
