--- a/packages/decisions/src/fleet/entry_group.ts
+++ b/packages/decisions/src/fleet/entry_group.ts
@@ -98,7 +98,7 @@
   };
 }
 
-/** Share that the entry itself uses, reduced once the others don't count it. */
+/** Share that the entry itself uses; reduced once the others may not count it. */
 function shareInUse({ listed }: PresentEntry): number {
   return listed ? 1 : REDUCED_SHARE;
 }
--- a/packages/decisions/src/fleet/state_pull.ts
+++ b/packages/decisions/src/fleet/state_pull.ts
@@ -28,7 +28,10 @@
   bytes: Uint8Array;
 };
 
-/** What to do after a part was received. */
+/**
+ * What to do after a part was received: request the next part (`ask`), apply
+ * the complete state (`whole`), or nothing.
+ */
 export type StateStep =
   | { kind: "ask"; request: StateRequest }
   | { kind: "whole"; revision: number; parts: Uint8Array[] }
@@ -109,6 +112,7 @@
     });
   }
 
+  /** Processes a part that a peer sent. */
   receivePart(peer: string, part: StatePart, now: number): StateStep {
     const transfer = this.#transfer;
     if (transfer?.peer !== peer) return { kind: "ignored" };
@@ -128,8 +132,8 @@
       this.#transfer = restarted;
       return this.receivePart(peer, part, now);
     }
-    const next = offset === transfer.offset && bytes.length > 0;
-    if (!next) return { kind: "ignored" };
+    const isNextPart = offset === transfer.offset && bytes.length > 0;
+    if (!isNextPart) return { kind: "ignored" };
     transfer.parts.push(bytes);
     transfer.offset += bytes.length;
     transfer.requestedAt = now;
--- a/packages/decisions/src/fleet/watch_timeouts.ts
+++ b/packages/decisions/src/fleet/watch_timeouts.ts
@@ -31,12 +31,12 @@
 
 /** The timeouts of successive watches on one prefix. */
 export class WatchTimeouts {
-  readonly #shortest: number;
+  readonly #shortestTimeout: number;
   #rotation = 0;
 
   /** `shortest`: the shortest timeout in a group, in milliseconds. */
   constructor(shortest: number) {
-    this.#shortest = shortest;
+    this.#shortestTimeout = shortest;
   }
 
   /** Milliseconds to delay the next watch after one that returned changes. */
@@ -48,6 +48,6 @@
   nextTimeout({ rank, size }: WatchGroup): number {
     const position = (rank + this.#rotation) % size;
     this.#rotation++;
-    return Math.min(MAXIMUM_TIMEOUT, this.#shortest * (position + 1));
+    return Math.min(MAXIMUM_TIMEOUT, this.#shortestTimeout * (position + 1));
   }
 }
--- a/packages/decisions/test/ejection_test.ts
+++ b/packages/decisions/test/ejection_test.ts
@@ -48,8 +48,8 @@
           const refused = [...present].filter((name) =>
             !ejection.allowed(name, now)
           );
-          const most = Math.floor(present.size * MAXIMUM_EJECTED_SHARE);
-          const bound = present.size < 2 ? 0 : Math.max(1, most);
+          const maximum = Math.floor(present.size * MAXIMUM_EJECTED_SHARE);
+          const bound = present.size < 2 ? 0 : Math.max(1, maximum);
           if (refused.length > bound || ejection.excluded.size > bound) {
             return false;
           }
--- a/packages/decisions/test/move_judge_test.ts
+++ b/packages/decisions/test/move_judge_test.ts
@@ -28,12 +28,12 @@
   const random = createRandom(7);
   for (let second = 0; second < 600; second++) {
     const [failing, slow] = second < 100 ? [0.001, 0.1] : [0.33, 0.8];
-    const of = (calls: number): [number, number, number] => {
-      const hits = (share: number) =>
+    const counts = (calls: number): [number, number, number] => {
+      const countEvents = (share: number) =>
         Array.from({ length: calls }, random).filter((x) => x < share).length;
-      return [calls, hits(failing), hits(slow)];
+      return [calls, countEvents(failing), countEvents(slow)];
     };
-    judge.observe([evidence("chat", of(40), of(4))], second * 1000);
+    judge.observe([evidence("chat", counts(40), counts(4))], second * 1000);
   }
   t.equal(judge.verdict.kind, "undecided");
   t.end();
@@ -71,7 +71,7 @@
 t.test("good versions are rarely rejected", (t) => {
   // 300 moves of 2000 s; 10 calls a second on each route, one in fifty fails.
   const random = createRandom(11);
-  const hits = (calls: number, share: number) => {
+  const countEvents = (calls: number, share: number) => {
     let count = 0;
     for (let call = 0; call < calls; call++) if (random() < share) count++;
     return count;
@@ -83,12 +83,12 @@
       const share = second < 500 ? 0.02 : second < 1000 ? 0.25 : 0.5;
       judge.observe(
         ["chat", "tags"].map((route) => {
-          const to = hits(100, share);
+          const to = countEvents(100, share);
           const from = 100 - to;
           return evidence(
             route,
-            [from, hits(from, 0.02), hits(from, 0.1)],
-            [to, hits(to, 0.02), hits(to, 0.13)],
+            [from, countEvents(from, 0.02), countEvents(from, 0.1)],
+            [to, countEvents(to, 0.02), countEvents(to, 0.13)],
           );
         }),
         second * 1000,
