--- a/packages/decisions/src/queueing/indexed_heap.ts
+++ b/packages/decisions/src/queueing/indexed_heap.ts
@@ -1,17 +1,24 @@
 /**
- * A binary heap whose items know their place, so that any item can be moved or
- * removed in logarithmic time. A plain heap with lazy deletion would keep the
- * dead items of a busy sidecar, where most reservations are withdrawn.
+ * A binary heap whose items store their own index, so that any item can be
+ * moved or removed in O(log n).
+ *
+ * A plain heap with lazy deletion would fill up with deleted items on a busy
+ * sidecar, where most reservations are withdrawn.
  * @module
  */
 
-/** What an item must offer to be held; `heapIndex` is the heap's alone. */
+/**
+ * An item that a heap can hold. `heapIndex` is maintained by the heap and must
+ * not be changed elsewhere.
+ */
 export type HeapItem = { key: number; heapIndex: number };
 
 /** The `heapIndex` of an item that is in no heap. */
 export const OUTSIDE_HEAP = -1;
 
-/** Smallest key first. An item is in at most one heap at a time. */
+/**
+ * A min-heap ordered by `key`. An item may be in at most one heap at a time.
+ */
 export class IndexedHeap<Item extends HeapItem> {
   readonly #items: Item[] = [];
 
@@ -19,17 +26,17 @@
     return this.#items.length;
   }
 
-  /** The item with the smallest key. */
+  /** Returns the item with the smallest key without removing it. */
   peek(): Item | undefined {
     return this.#items[0];
   }
 
   push(item: Item): void {
     this.#items.push(item);
-    this.#rise(item, this.#items.length - 1);
+    this.#siftUp(item, this.#items.length - 1);
   }
 
-  /** Removes an item; does nothing if the heap does not hold it. */
+  /** Removes an item; does nothing if the item is in no heap. */
   remove(item: Item): void {
     const index = item.heapIndex;
     if (index === OUTSIDE_HEAP) {
@@ -40,24 +47,24 @@
     if (last === undefined || last === item) {
       return;
     }
-    this.#place(last, index);
+    this.#restoreOrder(last, index);
   }
 
   /** Restores the order after the item's key has changed. */
   update(item: Item): void {
     if (item.heapIndex !== OUTSIDE_HEAP) {
-      this.#place(item, item.heapIndex);
+      this.#restoreOrder(item, item.heapIndex);
     }
   }
 
-  #place(item: Item, index: number): void {
-    this.#rise(item, index);
+  #restoreOrder(item: Item, index: number): void {
+    this.#siftUp(item, index);
     if (item.heapIndex === index) {
-      this.#sink(item, index);
+      this.#siftDown(item, index);
     }
   }
 
-  #rise(item: Item, start: number): void {
+  #siftUp(item: Item, start: number): void {
     let index = start;
     while (index > 0) {
       const parentIndex = (index - 1) >> 1;
@@ -65,13 +72,13 @@
       if (parent === undefined || parent.key <= item.key) {
         break;
       }
-      this.#put(parent, index);
+      this.#setAt(parent, index);
       index = parentIndex;
     }
-    this.#put(item, index);
+    this.#setAt(item, index);
   }
 
-  #sink(item: Item, start: number): void {
+  #siftDown(item: Item, start: number): void {
     let index = start;
     for (;;) {
       const child = this.#smallerChild(index);
@@ -79,10 +86,10 @@
         break;
       }
       const childIndex = child.heapIndex;
-      this.#put(child, index);
+      this.#setAt(child, index);
       index = childIndex;
     }
-    this.#put(item, index);
+    this.#setAt(item, index);
   }
 
   #smallerChild(index: number): Item | undefined {
@@ -94,7 +101,7 @@
     return right.key < left.key ? right : left;
   }
 
-  #put(item: Item, index: number): void {
+  #setAt(item: Item, index: number): void {
     this.#items[index] = item;
     item.heapIndex = index;
   }
--- a/packages/decisions/src/queueing/linked_list.ts
+++ b/packages/decisions/src/queueing/linked_list.ts
@@ -1,6 +1,6 @@
-/** A doubly linked list with removal from the middle in constant time. @module */
+/** A doubly linked list that removes any node in constant time. @module */
 
-/** A value's place in one list. */
+/** A list node that holds one value. */
 export class LinkedNode<Value> {
   readonly value: Value;
   previous: LinkedNode<Value> | undefined;
@@ -11,7 +11,10 @@
   }
 }
 
-/** Oldest at the head, newest at the tail. A node is in one list only. */
+/**
+ * The head is the oldest value and the tail the newest. A node may be in at
+ * most one list at a time.
+ */
 export class LinkedList<Value> {
   #head: LinkedNode<Value> | undefined;
   #tail: LinkedNode<Value> | undefined;
--- a/packages/decisions/src/queueing/mod.ts
+++ b/packages/decisions/src/queueing/mod.ts
@@ -1,4 +1,4 @@
-/** Admission and order of waiting reservations. @module */
+/** Admission, ordering and eviction of waiting reservations. @module */
 export { WaitingQueue } from "./waiting_queue.ts";
 export type { WaitingQueueOptions } from "./waiting_queue.ts";
 export type {
--- a/packages/decisions/src/queueing/organisation_account.ts
+++ b/packages/decisions/src/queueing/organisation_account.ts
@@ -1,22 +1,25 @@
-/** What one organisation has been served, and has waiting, within one tier. @module */
+/** One organisation's served and waiting work within one tier. @module */
 import { OUTSIDE_HEAP } from "./indexed_heap.ts";
 import { LinkedList } from "./linked_list.ts";
 import type { OrganisationFlow } from "./organisation_flow.ts";
-import type { Place } from "./place.ts";
+import type { QueuedReservation } from "./queued_reservation.ts";
 
 /**
- * While it waits, held by the tier's heap of backlogs, the largest first; else by
- * the heap of idle accounts, the one that is paid for soonest first.
+ * While the organisation has waiting reservations, its account is in the tier's
+ * heap of backlogged accounts, largest backlog first. Otherwise it is in the
+ * heap of idle accounts, smallest finish tag first.
  */
 export class OrganisationAccount {
   readonly organisation: string;
   weight: number;
-  /** Virtual time at which all served work is paid for. */
+  /**
+   * Virtual finish time of the work served so far (start-time fair queueing).
+   */
   finishTag = 0;
   /** Waiting work divided by weight. */
   backlog = 0;
-  /** Every waiting reservation, over all size classes. */
-  readonly places = new LinkedList<Place>();
+  /** All waiting reservations, of every size class. */
+  readonly reservations = new LinkedList<QueuedReservation>();
   readonly flows = new Map<number, OrganisationFlow>();
   heapIndex = OUTSIDE_HEAP;
 
@@ -25,12 +28,12 @@
     this.weight = weight;
   }
 
-  /** Its order in the heap that holds it. */
+  /** Sort key in the heap that holds the account. */
   get key(): number {
     return this.isIdle ? this.finishTag : -this.backlog;
   }
 
   get isIdle(): boolean {
-    return this.places.size === 0;
+    return this.reservations.size === 0;
   }
 }
--- a/packages/decisions/src/queueing/organisation_flow.ts
+++ b/packages/decisions/src/queueing/organisation_flow.ts
@@ -1,32 +1,41 @@
-/** One organisation's waiting reservations of one size class, in order. @module */
+/**
+ * One organisation's waiting reservations of one size class, oldest first.
+ * @module
+ */
 import { OUTSIDE_HEAP } from "./indexed_heap.ts";
 import { LinkedList } from "./linked_list.ts";
 import type { OrganisationAccount } from "./organisation_account.ts";
-import type { Place } from "./place.ts";
+import type { QueuedReservation } from "./queued_reservation.ts";
 
-/** Held by its size class's heap; `key` is the start tag of its oldest. */
+/**
+ * An item of its size class's heap; `key` is the virtual start tag of the
+ * oldest reservation.
+ */
 export class OrganisationFlow {
   readonly account: OrganisationAccount;
   readonly sizeClass: number;
-  readonly places = new LinkedList<Place>();
-  /** Virtual time at which the flow last began to wait. */
-  readonly floor: number;
+  readonly reservations = new LinkedList<QueuedReservation>();
+  /**
+   * Virtual time at which the flow last became non-empty; the start tag is
+   * never below it.
+   */
+  readonly minStartTag: number;
   key: number;
   heapIndex = OUTSIDE_HEAP;
 
   constructor(
     account: OrganisationAccount,
     sizeClass: number,
-    floor: number,
+    minStartTag: number,
   ) {
     this.account = account;
     this.sizeClass = sizeClass;
-    this.floor = floor;
-    this.key = Math.max(floor, account.finishTag);
+    this.minStartTag = minStartTag;
+    this.key = Math.max(minStartTag, account.finishTag);
   }
 
-  /** Takes over the account's tag after a charge or a correction. */
-  retag(): void {
-    this.key = Math.max(this.floor, this.account.finishTag);
+  /** Recomputes the start tag after the account's finish tag has changed. */
+  updateStartTag(): void {
+    this.key = Math.max(this.minStartTag, this.account.finishTag);
   }
 }
--- a/packages/decisions/src/queueing/waiting_queue.ts
+++ b/packages/decisions/src/queueing/waiting_queue.ts
@@ -1,25 +1,29 @@
 /**
- * The queue in front of one backend server: who waits, who is next, who is shed.
+ * The queue in front of one backend server. It decides which reservations wait,
+ * which is granted next and which are shed.
  *
  * Load pattern: more work than the engine can run, in several tiers, from
- * several organisations, long and short. The engine itself knows no priorities
- * and takes what comes; without a queue in front of it an urgent request waits
- * inside the engine behind whatever came first.
+ * several organisations, long and short. The engine has no notion of priority
+ * and accepts whatever comes; without a queue in front of it, an urgent request
+ * waits inside the engine behind earlier ones.
  *
- * - Tiers are strict: a full queue evicts the newest of its lowest tier before
- *   it refuses a higher one.
- * - Within a tier, organisations are served by cost; when only the arrival's own
- *   tier is left to evict from, the organisation with the largest backlog gives
- *   up its newest, so one that floods the queue cannot shut the others out.
- * - Waiting ends when the answer could no longer be whole by its deadline.
- * - A head that finds no room is passed over, so room is never left idle while
- *   anything waiting fits it.
+ * - Tiers have strict priority: a full queue evicts the newest reservation of
+ *   its lowest tier before it refuses one of a higher tier.
+ * - Within a tier, organisations are served fairly by cost. When only
+ *   reservations of the arrival's own tier could be evicted, the organisation
+ *   with the largest backlog loses its newest one, so an organisation that
+ *   floods the queue cannot shut out the others.
+ * - A reservation expires when its response could no longer be complete by its
+ *   deadline.
+ * - A reservation that does not fit is skipped, so no capacity stays idle while
+ *   any waiting reservation fits.
  *
- * No step grows with the number waiting by more than its logarithm.
+ * Every operation takes at most logarithmic time in the number of waiting
+ * reservations.
  * @module
  */
 import { IndexedHeap } from "./indexed_heap.ts";
-import { Place } from "./place.ts";
+import { QueuedReservation } from "./queued_reservation.ts";
 import { TierQueue } from "./tier_queue.ts";
 import type {
   Cost,
@@ -27,35 +31,46 @@
   WaitingReservation,
 } from "./waiting_reservation.ts";
 
-/** Settings of a {@link WaitingQueue}. */
+/** Options of a {@link WaitingQueue}. */
 export type WaitingQueueOptions = {
-  /** Most reservations that wait at once. */
+  /** Maximum number of waiting reservations. */
   capacity: number;
-  /** Cost as one number, for fairness; prompt and output tokens by default. */
+  /**
+   * Converts a cost to the amount of work that fair queueing counts; the sum of
+   * prompt and output tokens by default.
+   */
   workOf?: (cost: Cost) => number;
-  /** Expected milliseconds from grant to the end of the answer; 0 by default. */
+  /**
+   * Expected milliseconds from the grant to the end of the response; 0 by
+   * default.
+   */
   serviceTimeOf?: (cost: Cost) => number;
 };
 
 /**
- * Estimates refuse work only while grants confirm them. An engine that was slow
- * teaches a long service time, all work is refused for it, and nothing runs that
- * could teach a shorter one. After so many milliseconds without a grant one
- * reservation is queued whatever the estimate says.
+ * Milliseconds without a grant after which one reservation is queued regardless
+ * of its estimated service time.
+ *
+ * Estimates are only corrected by work that runs. If a slow period leaves a
+ * long estimate behind, all work is refused because of it, and nothing runs
+ * that could correct the estimate.
  */
-const UNCONFIRMED_AFTER = 10_000;
+const ESTIMATE_OVERRIDE_AFTER = 10_000;
 
-/** See the module. Every offered reservation leaves in exactly one way. */
+/**
+ * Every offered reservation leaves the queue in exactly one way: refused,
+ * evicted, taken, withdrawn or expired.
+ */
 export class WaitingQueue {
   readonly #capacity: number;
   readonly #workOf: (cost: Cost) => number;
   readonly #serviceTimeOf: (cost: Cost) => number;
-  readonly #places = new Map<string, Place>();
-  readonly #latestStarts = new IndexedHeap<Place>();
-  /** Highest tier first. */
+  readonly #queued = new Map<string, QueuedReservation>();
+  readonly #byLatestStart = new IndexedHeap<QueuedReservation>();
+  /** Highest priority first. */
   readonly #tiers: TierQueue[] = [];
   #expired: WaitingReservation[] = [];
-  #estimatesConfirmed: number | undefined;
+  #estimatesConfirmedAt: number | undefined;
 
   constructor(options: WaitingQueueOptions) {
     this.#capacity = options.capacity;
@@ -64,14 +79,17 @@
   }
 
   get size(): number {
-    return this.#places.size;
+    return this.#queued.size;
   }
 
   sizeOf(tierRank: number): number {
     return this.#tiers.find((tier) => tier.rank === tierRank)?.size ?? 0;
   }
 
-  /** Waiting work that is served before a new arrival of the tier. */
+  /**
+   * Returns the waiting work that would be served before a new arrival of the
+   * tier.
+   */
   workAhead(tierRank: number): number {
     let work = 0;
     for (const tier of this.#tiers) {
@@ -83,69 +101,73 @@
   }
 
   /**
-   * The lowest tier that may be queued now; every lower one would be refused.
-   * Undefined while there is a place for any.
+   * Returns the rank of the lowest tier that would still be queued; a
+   * reservation of any lower tier would be refused. Returns `undefined` while
+   * the queue is not full.
    */
   lowestTierRank(): number | undefined {
-    if (this.#places.size < this.#capacity) {
+    if (this.#queued.size < this.#capacity) {
       return undefined;
     }
     return this.#lowestWaitingTier()?.rank;
   }
 
-  /** Queues a reservation, evicts for it, or refuses it. */
-  offer(waiting: WaitingReservation, now: number): OfferResult {
-    const latestStart = this.#latestStart(waiting, now);
+  /** Queues a reservation, evicting others if necessary, or refuses it. */
+  offer(reservation: WaitingReservation, now: number): OfferResult {
+    const latestStart = this.#latestStart(reservation, now);
     if (latestStart < now) {
       return { queued: false, reason: "deadline" };
     }
     this.#collectExpired(now);
     const evicted: WaitingReservation[] = [];
-    while (this.#places.size >= this.#capacity) {
-      const victim = this.#victimFor(waiting);
+    while (this.#queued.size >= this.#capacity) {
+      const victim = this.#selectVictim(reservation);
       if (victim === undefined) {
         return { queued: false, reason: "queue_full" };
       }
       this.#remove(victim);
-      evicted.push(victim.waiting);
+      evicted.push(victim.reservation);
     }
-    this.#add(waiting, latestStart);
+    this.#add(reservation, latestStart);
     return { queued: true, evicted };
   }
 
   /**
-   * The next reservation that `admits` has room for, removed from the queue and
-   * charged to its organisation. `admits` is asked about at most one head of
-   * each size class in each tier.
+   * Returns the next reservation that `admits` accepts, removes it from the
+   * queue and charges its organisation. `admits` is called for at most one
+   * reservation of each size class in each tier.
    */
   take(
     now: number,
-    admits: (waiting: WaitingReservation) => boolean,
+    admits: (reservation: WaitingReservation) => boolean,
   ): WaitingReservation | undefined {
     this.#collectExpired(now);
     for (const tier of this.#tiers) {
-      const place = this.#firstAdmitted(tier, now, admits);
-      if (place !== undefined) {
-        tier.serve(place);
-        this.#forget(place);
-        this.#estimatesConfirmed = now;
-        return place.waiting;
+      const queued = this.#firstAdmitted(tier, now, admits);
+      if (queued !== undefined) {
+        tier.serve(queued);
+        this.#forget(queued);
+        this.#estimatesConfirmedAt = now;
+        return queued.reservation;
       }
     }
     return undefined;
   }
 
-  /** Takes a reservation back; `false` if it no longer waits. */
+  /** Removes a waiting reservation; returns `false` if it no longer waits. */
   withdraw(id: string): boolean {
-    const place = this.#places.get(id);
-    if (place === undefined) {
+    const queued = this.#queued.get(id);
+    if (queued === undefined) {
       return false;
     }
-    this.#remove(place);
+    this.#remove(queued);
     return true;
   }
 
-  /** Removes those whose deadline can no longer be met; each is told once. */
+  /**
+   * Removes and returns the reservations whose deadline can no longer be met.
+   * Each is returned once.
+   */
   expire(now: number): WaitingReservation[] {
     this.#collectExpired(now);
     const expired = this.#expired;
@@ -154,32 +176,36 @@
   }
 
   /**
-   * Corrects the charge of a taken reservation once its real cost is known. An
-   * actual cost of 0 returns the whole charge: the grant lapsed.
+   * Corrects the charge of a taken reservation once its actual cost is known.
+   * An actual cost of 0, as for a lapsed grant, refunds the whole charge.
    */
-  correctCharge(waiting: WaitingReservation, actual: Cost): void {
-    const difference = this.#workOf(actual) - this.#workOf(waiting.cost);
-    this.#tierOf(waiting.tierRank).correct(waiting, difference);
+  correctCharge(reservation: WaitingReservation, actual: Cost): void {
+    const difference = this.#workOf(actual) - this.#workOf(reservation.cost);
+    this.#tierOf(reservation.tierRank).correctCharge(reservation, difference);
   }
 
-  #add(waiting: WaitingReservation, latestStart: number): void {
-    const place = new Place(waiting, this.#workOf(waiting.cost), latestStart);
-    this.#places.set(waiting.id, place);
-    this.#latestStarts.push(place);
-    this.#tierOf(waiting.tierRank).add(place);
+  #add(reservation: WaitingReservation, latestStart: number): void {
+    const queued = new QueuedReservation(
+      reservation,
+      this.#workOf(reservation.cost),
+      latestStart,
+    );
+    this.#queued.set(reservation.id, queued);
+    this.#byLatestStart.push(queued);
+    this.#tierOf(reservation.tierRank).add(queued);
   }
 
-  #remove(place: Place): void {
-    this.#tierOf(place.waiting.tierRank).remove(place);
-    this.#forget(place);
+  #remove(queued: QueuedReservation): void {
+    this.#tierOf(queued.reservation.tierRank).remove(queued);
+    this.#forget(queued);
   }
 
-  #forget(place: Place): void {
-    this.#latestStarts.remove(place);
-    this.#places.delete(place.waiting.id);
+  #forget(queued: QueuedReservation): void {
+    this.#byLatestStart.remove(queued);
+    this.#queued.delete(queued.reservation.id);
   }
 
-  #victimFor(arrival: WaitingReservation): Place | undefined {
+  #selectVictim(arrival: WaitingReservation): QueuedReservation | undefined {
     const lowest = this.#lowestWaitingTier();
     if (lowest === undefined || lowest.rank < arrival.tierRank) {
       return undefined;
@@ -197,47 +223,52 @@
   #firstAdmitted(
     tier: TierQueue,
     now: number,
-    admits: (waiting: WaitingReservation) => boolean,
-  ): Place | undefined {
+    admits: (reservation: WaitingReservation) => boolean,
+  ): QueuedReservation | undefined {
     while (tier.size > 0) {
       const heads = tier.heads();
       const late = heads.find((head) => this.#isTooLate(head, now));
       if (late === undefined) {
-        return heads.find((head) => admits(head.waiting));
+        return heads.find((head) => admits(head.reservation));
       }
       this.#remove(late);
-      this.#expired.push(late.waiting);
+      this.#expired.push(late.reservation);
     }
     return undefined;
   }
 
-  /** The engine may have become slower since the reservation was queued. */
-  #isTooLate(place: Place, now: number): boolean {
-    const { waiting } = place;
-    const unchecked = place.key === waiting.deadline;
-    return !unchecked &&
-      waiting.deadline - this.#serviceTimeOf(waiting.cost) < now;
+  /**
+   * Checks the deadline again with the current estimate: the engine may have
+   * become slower since the reservation was queued.
+   */
+  #isTooLate(queued: QueuedReservation, now: number): boolean {
+    const { reservation } = queued;
+    const ignoresEstimate = queued.key === reservation.deadline;
+    return !ignoresEstimate &&
+      reservation.deadline - this.#serviceTimeOf(reservation.cost) < now;
   }
 
-  #latestStart(waiting: WaitingReservation, now: number): number {
-    const latestStart = waiting.deadline - this.#serviceTimeOf(waiting.cost);
-    this.#estimatesConfirmed ??= now;
-    const unconfirmed = now - this.#estimatesConfirmed > UNCONFIRMED_AFTER;
+  #latestStart(reservation: WaitingReservation, now: number): number {
+    const latestStart = reservation.deadline -
+      this.#serviceTimeOf(reservation.cost);
+    this.#estimatesConfirmedAt ??= now;
+    const unconfirmed =
+      now - this.#estimatesConfirmedAt > ESTIMATE_OVERRIDE_AFTER;
     if (latestStart < now && unconfirmed) {
-      this.#estimatesConfirmed = now;
-      return waiting.deadline;
+      this.#estimatesConfirmedAt = now;
+      return reservation.deadline;
     }
     return latestStart;
   }
 
   #collectExpired(now: number): void {
     for (;;) {
-      const place = this.#latestStarts.peek();
-      if (place === undefined || place.key >= now) {
+      const queued = this.#byLatestStart.peek();
+      if (queued === undefined || queued.key >= now) {
         return;
       }
-      this.#remove(place);
-      this.#expired.push(place.waiting);
+      this.#remove(queued);
+      this.#expired.push(queued.reservation);
     }
   }
 
--- a/packages/decisions/src/queueing/waiting_reservation.ts
+++ b/packages/decisions/src/queueing/waiting_reservation.ts
@@ -1,25 +1,37 @@
-/** A reservation as it waits for room. @module */
+/** A reservation that waits for capacity on a backend server. @module */
 
-/** Work expected of a backend server: tokens for an engine; a plain call is `{0, 1}`. */
+/**
+ * Expected work of a request in tokens. A call to a plain service costs 0
+ * prompt tokens and 1 output token.
+ */
 export type Cost = { promptTokens: number; outputTokens: number };
 
-/** One waiting reservation. Times are milliseconds of the caller's own clock. */
+/**
+ * A reservation that waits in the queue. Times are in milliseconds on the clock
+ * of the code that calls the queue.
+ */
 export type WaitingReservation = {
   id: string;
-  /** 0 is served first. */
+  /** Rank of the tier; 0 is served first. */
   tierRank: number;
   organisation: string;
-  /** Share beside other organisations of the same tier; above 0. */
+  /**
+   * Fair-queueing weight relative to other organisations of the same tier;
+   * above 0.
+   */
   weight: number;
   cost: Cost;
-  /** Instant by which the answer must be whole. */
+  /** Instant by which the response must be complete. */
   deadline: number;
-  /** May have crashed a server: granted only when `admits` says so. */
+  /**
+   * The request may have crashed a server. It is granted only when `admits`
+   * allows it, and then runs alone.
+   */
   suspect?: boolean;
   arrived: number;
 };
 
-/** What became of an offered reservation. */
+/** The result of offering a reservation to the queue. */
 export type OfferResult =
   | { queued: true; evicted: WaitingReservation[] }
   | { queued: false; reason: "queue_full" | "deadline" };
--- a/packages/decisions/test/waiting_queue_test.ts
+++ b/packages/decisions/test/waiting_queue_test.ts
@@ -5,16 +5,14 @@
 import { waitingReservation } from "./waiting_reservation.ts";
 
 const SEED = { seed: 4 };
-const always = () => true;
+const admitAll = () => true;
 
 function cost(tokens: number): Cost {
   return { promptTokens: 0, outputTokens: tokens };
 }
 
-// At lunch the plan replies arrive when review tags have already filled the
-// queue. A customer would see a refusal while tags wait. The cause would be a
-// bound that refuses whatever comes last.
-t.test("full queue sheds the lowest tier first", (t) => {
+// Guards against a full queue refusing every new arrival, whatever its tier.
+t.test("a full queue evicts the newest reservation of its lowest tier", (t) => {
   const queue = new WaitingQueue({ capacity: 2 });
   queue.offer(waitingReservation("old tag", { tierRank: 2 }), 0);
   queue.offer(waitingReservation("new tag", { tierRank: 2 }), 0);
@@ -28,9 +26,8 @@
   t.end();
 });
 
-// One organisation sends a thousand requests at once. Another's single request
-// would be refused, or answered after all of them: the first filled the queue.
-t.test("a flooding organisation shuts nobody out", (t) => {
+// Guards against one organisation filling the queue with a thousand requests.
+t.test("a flooding organisation does not shut out others", (t) => {
   const queue = new WaitingQueue({ capacity: 100 });
   for (let index = 0; index < 1000; index += 1) {
     queue.offer(waitingReservation(`hot ${index}`, { organisation: "hot" }), 0);
@@ -40,27 +37,25 @@
     0,
   );
   t.match(offer, { queued: true, evicted: [{ id: "hot 99" }] });
-  queue.take(0, always);
-  t.equal(queue.take(0, always)?.id, "small");
+  queue.take(0, admitAll);
+  t.equal(queue.take(0, admitAll)?.id, "small");
   t.end();
 });
 
-// A quote stands at the head and the engine has room for short work only. Riders
-// would wait for the quote although the engine idles.
-t.test("a long head without room is passed over", (t) => {
+// Guards against an engine idling because the quote at the head does not fit.
+t.test("a long reservation that does not fit is skipped", (t) => {
   const queue = new WaitingQueue({ capacity: 10 });
   queue.offer(waitingReservation("quote", { cost: cost(5000) }), 0);
   queue.offer(waitingReservation("identification", { cost: cost(50) }), 0);
   queue.offer(waitingReservation("tag", { tierRank: 3, cost: cost(40) }), 0);
-  const roomForShort = ({ cost }: WaitingReservation) =>
-    cost.outputTokens < 100;
-  t.equal(queue.take(0, roomForShort)?.id, "identification");
-  t.equal(queue.take(0, roomForShort)?.id, "tag");
-  t.equal(queue.take(0, always)?.id, "quote");
+  const admitsShort = ({ cost }: WaitingReservation) => cost.outputTokens < 100;
+  t.equal(queue.take(0, admitsShort)?.id, "identification");
+  t.equal(queue.take(0, admitsShort)?.id, "tag");
+  t.equal(queue.take(0, admitAll)?.id, "quote");
   t.end();
 });
 
-t.test("what cannot finish in time is refused or expires", (t) => {
+t.test("a reservation that misses its deadline is refused or expires", (t) => {
   const queue = new WaitingQueue({
     capacity: 10,
     serviceTimeOf: (cost) => cost.outputTokens,
@@ -72,15 +67,14 @@
     0,
   );
   t.same(queue.expire(50), []);
-  t.equal(queue.take(51, always), undefined);
+  t.equal(queue.take(51, admitAll), undefined);
   t.match(queue.expire(51), [{ id: "quote" }]);
   t.same(queue.expire(51), []);
   t.end();
 });
 
-// An engine was slow for a minute and is well again. Its callers would be refused
-// for ever: the learned time refuses all work, so no work teaches a better one.
-t.test("a bad estimate does not refuse for ever", (t) => {
+// Guards against refusing all work for an estimate that only work can correct.
+t.test("an outdated service time estimate is overridden", (t) => {
   let serviceTime = 100_000;
   const queue = new WaitingQueue({
     capacity: 10,
@@ -95,16 +89,16 @@
   t.equal(offerAt(0), false);
   t.equal(offerAt(10_001), true);
   t.equal(offerAt(10_002), false);
-  t.equal(queue.take(10_003, always)?.id, "10001");
+  t.equal(queue.take(10_003, admitAll)?.id, "10001");
   serviceTime = 10;
   t.equal(offerAt(10_004), true);
   serviceTime = 6000;
-  t.equal(queue.take(10_005, always), undefined);
+  t.equal(queue.take(10_005, admitAll), undefined);
   t.match(queue.expire(10_005), [{ id: "10004" }]);
   t.end();
 });
 
-t.test("a lapsed grant costs its organisation nothing", (t) => {
+t.test("a lapsed grant is not charged to its organisation", (t) => {
   const queue = new WaitingQueue({ capacity: 10 });
   queue.offer(
     waitingReservation("a1", { organisation: "a", cost: cost(7) }),
@@ -113,10 +107,10 @@
   queue.offer(waitingReservation("a2", { organisation: "a" }), 0);
   queue.offer(waitingReservation("b1", { organisation: "b" }), 0);
   queue.offer(waitingReservation("b2", { organisation: "b" }), 0);
-  const lapsed = queue.take(0, always);
+  const lapsed = queue.take(0, admitAll);
   t.equal(lapsed?.id, "a1");
   queue.correctCharge(lapsed as WaitingReservation, cost(0));
-  const order = [1, 2, 3].map(() => queue.take(0, always)?.id);
+  const order = [1, 2, 3].map(() => queue.take(0, admitAll)?.id);
   t.same(order, ["b1", "a2", "b2"]);
   t.end();
 });
@@ -138,18 +132,18 @@
   { weight: 1, arbitrary: fc.constant({ expire: true as const }) },
 );
 
-t.test("every reservation ends in exactly one way", (t) => {
+t.test("every reservation leaves the queue in exactly one way", (t) => {
   const property = fc.property(
     fc.array(step, { minLength: 50, maxLength: 300 }),
     (steps) => {
       const queue = new WaitingQueue({ capacity: 20 });
-      const left = new Map<string, string>();
+      const endOf = new Map<string, string>();
       let offered = 0;
-      const ends = (id: string, how: string) => {
-        if (left.has(id)) {
-          throw new Error(`${id}: ${how} after ${left.get(id)}`);
+      const recordEnd = (id: string, end: string) => {
+        if (endOf.has(id)) {
+          throw new Error(`${id}: ${end} after ${endOf.get(id)}`);
         }
-        left.set(id, how);
+        endOf.set(id, end);
       };
       for (const [now, step] of steps.entries()) {
         if ("offer" in step) {
@@ -163,13 +157,13 @@
           const offer = queue.offer(arrival, now);
           if (offer.queued) {
             for (const victim of offer.evicted) {
-              ends(victim.id, "evicted");
+              recordEnd(victim.id, "evicted");
               if (victim.tierRank < arrival.tierRank) {
                 throw new Error("evicted a higher tier");
               }
             }
           } else {
-            ends(id, "refused");
+            recordEnd(id, "refused");
           }
         } else if ("takeUpTo" in step) {
           const taken = queue.take(
@@ -177,21 +171,21 @@
             ({ cost }) => cost.outputTokens <= step.takeUpTo,
           );
           if (taken !== undefined) {
-            ends(taken.id, "taken");
+            recordEnd(taken.id, "taken");
           }
         } else if ("withdraw" in step) {
           if (queue.withdraw(String(step.withdraw))) {
-            ends(String(step.withdraw), "withdrawn");
+            recordEnd(String(step.withdraw), "withdrawn");
           }
         } else {
-          queue.expire(now).forEach(({ id }) => ends(id, "expired"));
+          queue.expire(now).forEach(({ id }) => recordEnd(id, "expired"));
         }
       }
-      queue.expire(steps.length).forEach(({ id }) => ends(id, "expired"));
-      for (let left = queue.size; left > 0; left -= 1) {
-        ends(queue.take(steps.length, always)?.id ?? "none", "taken");
+      queue.expire(steps.length).forEach(({ id }) => recordEnd(id, "expired"));
+      for (let remaining = queue.size; remaining > 0; remaining -= 1) {
+        recordEnd(queue.take(steps.length, admitAll)?.id ?? "none", "taken");
       }
-      return left.size === offered && queue.size === 0;
+      return endOf.size === offered && queue.size === 0;
     },
   );
   fc.assert(property, { ...SEED, numRuns: 200 });
@@ -199,18 +193,18 @@
   t.end();
 });
 
-t.test("a higher tier is served first and shed last", (t) => {
+t.test("higher tiers are served first and evicted last", (t) => {
   const property = fc.property(
     fc.array(arrival, { minLength: 30, maxLength: 100 }),
     (arrivals) => {
       const queue = new WaitingQueue({ capacity: 20 });
-      const held: number[] = [];
+      const queuedRanks: number[] = [];
       for (const [id, fields] of arrivals.entries()) {
         const offer = queue.offer(
           waitingReservation(String(id), { ...fields, deadline: 1000 }),
           0,
         );
-        const lowest = Math.max(...held);
+        const lowest = Math.max(...queuedRanks);
         if (!offer.queued && lowest > fields.tierRank) {
           return false;
         }
@@ -218,15 +212,17 @@
           if (victim.tierRank !== lowest) {
             return false;
           }
-          held.splice(held.indexOf(victim.tierRank), 1);
+          queuedRanks.splice(queuedRanks.indexOf(victim.tierRank), 1);
         }
         if (offer.queued) {
-          held.push(fields.tierRank);
+          queuedRanks.push(fields.tierRank);
         }
       }
-      const served = held.map(() => queue.take(0, always)?.tierRank ?? -1);
-      return served.every((rank, at) =>
-        at === 0 || rank >= (served[at - 1] ?? 0)
+      const served = queuedRanks.map(() =>
+        queue.take(0, admitAll)?.tierRank ?? -1
+      );
+      return served.every((rank, index) =>
+        index === 0 || rank >= (served[index - 1] ?? 0)
       );
     },
   );
@@ -235,7 +231,7 @@
   t.end();
 });
 
-t.test("served work per weight differs by one largest request", (t) => {
+t.test("served work per weight differs by one largest request at most", (t) => {
   const largest = 64;
   const flows = fc.array(fc.integer({ min: 1, max: largest }), {
     minLength: 40,
@@ -247,7 +243,7 @@
     fc.tuple(weight, weight, weight),
     (sizes, weights) => {
       const queue = new WaitingQueue({ capacity: 1000 });
-      const left = [40, 40, 40];
+      const remaining = [40, 40, 40];
       const served = [0, 0, 0];
       for (const [flow, costs] of sizes.entries()) {
         for (const [index, size] of costs.entries()) {
@@ -262,10 +258,10 @@
           );
         }
       }
-      while (left.every((count) => count > 0)) {
-        const taken = queue.take(0, always);
+      while (remaining.every((count) => count > 0)) {
+        const taken = queue.take(0, admitAll);
         const flow = Number(taken?.organisation);
-        left[flow] = (left[flow] ?? 0) - 1;
+        remaining[flow] = (remaining[flow] ?? 0) - 1;
         served[flow] = (served[flow] ?? 0) + (taken?.cost.outputTokens ?? 0);
         for (const [one, work] of served.entries()) {
           for (const [other, otherWork] of served.entries()) {
--- a/packages/decisions/test/waiting_reservation.ts
+++ b/packages/decisions/test/waiting_reservation.ts
@@ -1,4 +1,4 @@
-/** A waiting reservation with the fields that a test does not care about. @module */
+/** Creates waiting reservations with default values for tests. @module */
 import type { WaitingReservation } from "../src/mod.ts";
 
 export function waitingReservation(
