--- a/packages/decisions/src/isolation/mod.ts
+++ b/packages/decisions/src/isolation/mod.ts
@@ -1,4 +1,4 @@
-/** What one service may hold, so that its trouble stays its own. @module */
+/** Isolates services from each other by limiting what each may use. @module */
 export { WaitingRequestLimiter } from "./waiting_request_limiter.ts";
 export type {
   Release,
--- a/packages/decisions/src/isolation/waiting_request_limiter.ts
+++ b/packages/decisions/src/isolation/waiting_request_limiter.ts
@@ -1,54 +1,59 @@
 /**
- * Bounds what each service's waiting requests hold at an entry.
+ * Limits the waiting requests of each service at an entry, by number and by
+ * size.
  *
- * Answers a service whose requests pile up, by their number or by the size of
- * their bodies. Without it they fill the entry's memory and every other
- * service fails with it. Each service has its own bounds and nothing is shared,
- * so a full service cannot be the reason for another's refusal. Within the
- * service a higher tier is never refused while a lower one waits: the lowest
- * tier's newest request makes way.
- *
- * The figures are the service's own, from its configuration.
+ * Load pattern: the requests of one service pile up, by their number or by the
+ * size of their bodies. Without limits they fill the entry's memory, and every
+ * other service fails as well. Each service has its own bounds from its
+ * configuration and nothing is shared, so a full service never causes refusals
+ * of another. Within a service, a higher tier is never refused while a lower
+ * one waits: the newest request of the lowest tier is evicted.
  * @module
  */
 import * as Result from "true-myth/result";
 
-/** What one service's waiting requests may hold. */
+/**
+ * Bounds on the waiting requests of one service, or their current number and
+ * size.
+ */
 export type WaitingBounds = { requests: number; bytes: number };
 
-/** Why a request may not wait. */
+/** Why a request was refused. */
 export type WaitingRefusal = {
   step: "admit";
   peer: string;
   reason: "too_many_waiting" | "too_many_bytes" | "body_too_large";
 };
 
-/** Gives the place back; further calls do nothing. */
+/** Releases the request's share of the bounds; further calls have no effect. */
 export type Release = () => void;
 
-/** A request that asks to wait. */
+/** A request to be admitted to wait. */
 export type WaitingRequest = {
   service: string;
   bytes: number;
-  /** 0 is served first. */
+  /** Rank of the tier; 0 is served first. */
   tierRank: number;
-  /** Called when the request makes way for a higher tier. */
+  /** Called when the request is evicted in favour of a higher tier. */
   onEvicted: () => void;
 };
 
-type Place = WaitingRequest & { held: boolean };
+type AdmittedRequest = WaitingRequest & { held: boolean };
 
 type Usage = {
   requests: number;
   bytes: number;
-  /** Per tier, oldest first; places given back stay until cleared out. */
-  tiers: Map<number, Place[]>;
+  /**
+   * Requests by tier, oldest first. Released ones stay in the list until it is
+   * cleaned up.
+   */
+  tiers: Map<number, AdmittedRequest[]>;
 };
 
-/** Lists are cleared of places given back once they are this long. */
-const LEAST_CLEARED = 32;
+/** Minimum length of a list that is cleaned up. */
+const MIN_CLEANUP_LENGTH = 32;
 
-/** Every service's waiting requests at one entry. */
+/** Limits the waiting requests of all services at one entry. */
 export class WaitingRequestLimiter {
   readonly #boundsOf: (service: string) => WaitingBounds;
   readonly #usages = new Map<string, Usage>();
@@ -57,45 +62,48 @@
     this.#boundsOf = boundsOf;
   }
 
-  /** Holds a place until it is released, or says why there is none. */
+  /**
+   * Admits a request until it is released, or returns the reason for its
+   * refusal.
+   */
   admit(
     request: WaitingRequest,
   ): Result.Result<Release, WaitingRefusal> {
     const bounds = this.#boundsOf(request.service);
-    const usage = this.#usageOf(request.service);
-    const reason = this.#makeRoom(request, usage, bounds);
+    const usage = this.#getOrCreateUsage(request.service);
+    const reason = this.#ensureCapacity(request, usage, bounds);
     if (reason !== undefined) {
       return Result.err({ step: "admit", peer: request.service, reason });
     }
-    const place: Place = { ...request, held: true };
+    const admitted: AdmittedRequest = { ...request, held: true };
     usage.requests++;
-    usage.bytes += place.bytes;
-    const list = usage.tiers.get(place.tierRank) ?? [];
-    usage.tiers.set(place.tierRank, list);
-    if (list.length >= LEAST_CLEARED && list.length > 2 * usage.requests) {
-      clearReleased(list);
+    usage.bytes += admitted.bytes;
+    const list = usage.tiers.get(admitted.tierRank) ?? [];
+    usage.tiers.set(admitted.tierRank, list);
+    if (list.length >= MIN_CLEANUP_LENGTH && list.length > 2 * usage.requests) {
+      removeReleased(list);
     }
-    list.push(place);
-    return Result.ok(() => this.#release(place, usage));
+    list.push(admitted);
+    return Result.ok(() => this.#release(admitted, usage));
   }
 
-  /** Requests and bytes that the service's waiting requests hold. */
+  /** Returns the number and total bytes of the service's waiting requests. */
   usageOf(service: string): WaitingBounds {
     const usage = this.#usages.get(service);
     return { requests: usage?.requests ?? 0, bytes: usage?.bytes ?? 0 };
   }
 
-  #makeRoom(
+  #ensureCapacity(
     request: WaitingRequest,
     usage: Usage,
     bounds: WaitingBounds,
   ): WaitingRefusal["reason"] | undefined {
     if (request.bytes > bounds.bytes) return "body_too_large";
-    const crowded = () =>
+    const overBounds = () =>
       usage.requests >= bounds.requests ||
       usage.bytes + request.bytes > bounds.bytes;
-    if (!crowded()) return undefined;
-    const victims = this.#victims(request, usage, bounds);
+    if (!overBounds()) return undefined;
+    const victims = this.#selectVictims(request, usage, bounds);
     if (victims === undefined) {
       return usage.requests >= bounds.requests
         ? "too_many_waiting"
@@ -108,13 +116,16 @@
     return undefined;
   }
 
-  /** Lowest tiers' newest first; undefined when they would not suffice. */
-  #victims(
+  /**
+   * Returns the requests to evict, newest of the lowest tier first, or
+   * `undefined` if evicting all lower tiers would not be enough.
+   */
+  #selectVictims(
     request: WaitingRequest,
     usage: Usage,
     bounds: WaitingBounds,
-  ): Place[] | undefined {
-    const victims: Place[] = [];
+  ): AdmittedRequest[] | undefined {
+    const victims: AdmittedRequest[] = [];
     let requests = usage.requests + 1 - bounds.requests;
     let bytes = usage.bytes + request.bytes - bounds.bytes;
     const lower = [...usage.tiers.keys()]
@@ -124,27 +135,27 @@
       const list = usage.tiers.get(rank)!;
       for (let index = list.length - 1; index >= 0; index--) {
         if (requests <= 0 && bytes <= 0) return victims;
-        const place = list[index]!;
-        if (!place.held) continue;
-        victims.push(place);
+        const admitted = list[index]!;
+        if (!admitted.held) continue;
+        victims.push(admitted);
         requests--;
-        bytes -= place.bytes;
+        bytes -= admitted.bytes;
       }
     }
     return requests <= 0 && bytes <= 0 ? victims : undefined;
   }
 
-  #release(place: Place, usage: Usage): void {
-    if (!place.held) return;
-    place.held = false;
+  #release(admitted: AdmittedRequest, usage: Usage): void {
+    if (!admitted.held) return;
+    admitted.held = false;
     usage.requests--;
-    usage.bytes -= place.bytes;
-    const list = usage.tiers.get(place.tierRank)!;
+    usage.bytes -= admitted.bytes;
+    const list = usage.tiers.get(admitted.tierRank)!;
     while (list.at(-1)?.held === false) list.pop();
     if (usage.requests === 0) usage.tiers.clear();
   }
 
-  #usageOf(service: string): Usage {
+  #getOrCreateUsage(service: string): Usage {
     let usage = this.#usages.get(service);
     if (usage === undefined) {
       usage = { requests: 0, bytes: 0, tiers: new Map() };
@@ -154,8 +165,8 @@
   }
 }
 
-function clearReleased(list: Place[]): void {
-  const held = list.filter((place) => place.held);
+function removeReleased(list: AdmittedRequest[]): void {
+  const held = list.filter((request) => request.held);
   list.length = 0;
   list.push(...held);
 }
--- a/packages/decisions/test/isolation_test.ts
+++ b/packages/decisions/test/isolation_test.ts
@@ -2,49 +2,56 @@
 import t from "tap";
 import { WaitingRequestLimiter } from "../src/mod.ts";
 
-const never = () => {};
+const ignoreEviction = () => {};
 
 t.test("a full service refuses only its own requests", (t) => {
-  // Review tags with large bodies pile up during an outage of their engine,
-  // the entry's memory fills, and bookings fail with them.
-  const allowance = new WaitingRequestLimiter(() => ({
+  // Guards against one service's waiting bodies filling the entry's memory.
+  const limiter = new WaitingRequestLimiter(() => ({
     requests: 2,
     bytes: 100,
   }));
   const admit = (service: string, bytes: number) =>
-    allowance.admit({ service, bytes, tierRank: 1, onEvicted: never });
+    limiter.admit({ service, bytes, tierRank: 1, onEvicted: ignoreEviction });
   t.ok(admit("tags", 60).isOk);
-  const crowded = admit("tags", 60);
-  t.strictSame(crowded.isErr && crowded.error.reason, "too_many_bytes");
+  const tooManyBytes = admit("tags", 60);
+  t.strictSame(
+    tooManyBytes.isErr && tooManyBytes.error.reason,
+    "too_many_bytes",
+  );
   t.ok(admit("tags", 40).isOk);
-  const many = admit("tags", 0);
-  t.strictSame(many.isErr && many.error, {
+  const tooManyRequests = admit("tags", 0);
+  t.strictSame(tooManyRequests.isErr && tooManyRequests.error, {
     step: "admit",
     peer: "tags",
     reason: "too_many_waiting",
   });
-  const large = admit("tags", 101);
-  t.strictSame(large.isErr && large.error.reason, "body_too_large");
+  const tooLarge = admit("tags", 101);
+  t.strictSame(tooLarge.isErr && tooLarge.error.reason, "body_too_large");
   t.ok(admit("bookings", 100).isOk);
   t.end();
 });
 
-t.test("a place is given back once", (t) => {
-  const allowance = new WaitingRequestLimiter(() => ({
+t.test("releasing a request twice has no further effect", (t) => {
+  const limiter = new WaitingRequestLimiter(() => ({
     requests: 1,
     bytes: 9,
   }));
-  const request = { service: "tags", bytes: 9, tierRank: 0, onEvicted: never };
-  const admitted = allowance.admit(request);
+  const request = {
+    service: "tags",
+    bytes: 9,
+    tierRank: 0,
+    onEvicted: ignoreEviction,
+  };
+  const admitted = limiter.admit(request);
   if (admitted.isErr) throw new Error(admitted.error.reason);
   admitted.value();
   admitted.value();
-  t.strictSame(allowance.usageOf("tags"), { requests: 0, bytes: 0 });
-  t.ok(allowance.admit(request).isOk);
+  t.strictSame(limiter.usageOf("tags"), { requests: 0, bytes: 0 });
+  t.ok(limiter.admit(request).isOk);
   t.end();
 });
 
-t.test("a higher tier is not refused while a lower one waits", (t) => {
+t.test("a higher tier is never refused while a lower one waits", (t) => {
   const arrival = fc.record({
     tierRank: fc.integer({ min: 0, max: 4 }),
     bytes: fc.integer({ min: 0, max: 30 }),
@@ -53,19 +60,19 @@
   fc.assert(
     fc.property(fc.array(arrival, { maxLength: 200 }), (arrivals) => {
       const bounds = { requests: 8, bytes: 100 };
-      const allowance = new WaitingRequestLimiter(() => bounds);
+      const limiter = new WaitingRequestLimiter(() => bounds);
       const waiting = new Map<number, { tierRank: number; bytes: number }>();
       const releases = new Map<number, () => void>();
       for (const [number, { tierRank, bytes, release }] of arrivals.entries()) {
-        const admitted = allowance.admit({
+        const admitted = limiter.admit({
           service: "service",
           bytes,
           tierRank,
           onEvicted: () => {
             const evicted = waiting.get(number)!;
-            const lower = [...waiting.values()].map((held) => held.tierRank);
-            if (Math.max(...lower) > evicted.tierRank) {
-              throw new Error("a lower tier outlasted a higher one");
+            const ranks = [...waiting.values()].map((held) => held.tierRank);
+            if (Math.max(...ranks) > evicted.tierRank) {
+              throw new Error("evicted a higher tier while a lower one waits");
             }
             waiting.delete(number);
           },
@@ -74,7 +81,7 @@
           waiting.set(number, { tierRank, bytes });
           releases.set(number, admitted.value);
         } else {
-          // Even without all lower ones there would be no room.
+          // The request would not fit even if all lower tiers were evicted.
           const kept = [...waiting.values()].filter((held) =>
             held.tierRank <= tierRank
           );
@@ -90,7 +97,7 @@
             waiting.delete(oldest);
           }
         }
-        const held = allowance.usageOf("service");
+        const held = limiter.usageOf("service");
         const sum = [...waiting.values()].reduce(
           (sum, one) => sum + one.bytes,
           0,
