--- a/packages/decisions/src/limits/adaptive_bound.ts
+++ b/packages/decisions/src/limits/adaptive_bound.ts
@@ -1,115 +1,130 @@
 /**
- * A number of things in use that is raised while they are served well and cut
- * when they are not. A cut starts from what was in use, so that it bites at once
- * even if the bound stood far above it.
+ * A bound on an amount in use, such as sequences or tokens. It is raised while
+ * the work is served fast enough and cut when it is not. A cut starts from the
+ * amount in use, so that it takes effect at once even if the bound was far
+ * above it.
  *
- * After a cut the things above the bound still have to finish. Until they have,
- * bad times are the old bound's and not the new one's, so no second cut is made;
- * without this, a bound that sits before answers of a minute falls to its floor
- * at every overload.
+ * After a cut, the work above the new bound still has to finish. Until it has,
+ * slow times are caused by the old bound, so no second cut is made. Otherwise a
+ * bound on responses that take a minute would fall to its minimum at every
+ * overload.
  *
- * An engine has bounds of its own, on sequences and on the memory for tokens, and
- * lets work wait inside beyond them although its streams run well. Once it has
- * been seen to do so, the bound stays below that point and probes it slowly.
+ * An engine has internal bounds on sequences and on memory for tokens. Work
+ * beyond them waits inside the engine although the running streams stay fast.
+ * Once this has been seen, the bound stays below that point and probes it
+ * slowly.
  * @module
  */
 
-/** Deepest cut of one window: a fifth of the speed is followed in four. */
-const DEEPEST_CUT = 0.6;
-const SHALLOWEST_CUT = 0.95;
+/**
+ * Strongest cut in one window, as a factor. A drop to a fifth of the speed is
+ * followed within four windows.
+ */
+const MIN_CUT_FACTOR = 0.6;
+const MAX_CUT_FACTOR = 0.95;
 
 /**
- * Growth per window beyond the point at which work waited inside the engine: a
- * tenth in half a minute. Each probe that finds the same point holds up what is
- * behind it until an answer has finished.
+ * Growth per window beyond the point at which work waited inside the engine;
+ * adds up to a tenth in half a minute. Each probe that reaches this point again
+ * delays the work behind it until a response has finished.
  */
 const PROBING_GROWTH = 0.002;
 
-/** Settings of an {@link AdaptiveBound}. */
+/** Options of an {@link AdaptiveBound}. */
 export type AdaptiveBoundOptions = {
   initial: number;
-  least: number;
-  most: number;
-  /** Growth of a probe at least; 0 by default. */
+  min: number;
+  max: number;
+  /** Minimum growth of a probe; 0 by default. */
   probingStep?: number;
 };
 
-/** See the module. */
 export class AdaptiveBound {
-  readonly #least: number;
-  readonly #most: number;
+  readonly #min: number;
+  readonly #max: number;
   readonly #probingStep: number;
   #value: number;
   #ceiling = Infinity;
   #highestUse = 0;
-  #reached = false;
+  #refusedWork = false;
 
   constructor(options: AdaptiveBoundOptions) {
     this.#probingStep = options.probingStep ?? 0;
     this.#value = options.initial;
-    this.#least = options.least;
-    this.#most = options.most;
+    this.#min = options.min;
+    this.#max = options.max;
   }
 
   get value(): number {
     return this.#value;
   }
 
-  /** Notes how much is in use: a cut starts from there. */
-  used(amount: number): void {
+  /** Records the amount in use; the next cut starts from the highest one. */
+  recordUse(amount: number): void {
     this.#highestUse = Math.max(this.#highestUse, amount);
   }
 
-  /** Notes that the bound refused work: one that refuses none does not grow. */
-  refused(): void {
-    this.#reached = true;
+  /**
+   * Records that the bound refused work; a bound that refused none in a window
+   * does not grow.
+   */
+  recordRefusal(): void {
+    this.#refusedWork = true;
   }
 
   /**
-   * Ends a window that left `headroom` of the goal, from 0 to 1. Grows by the
-   * headroom and at least by `step`, and only if the bound was reached: a bound
-   * ten times too small is found in half a dozen windows, without overshooting
-   * where the time grows no faster than what is in use.
+   * Ends a window whose time was below the goal by the share `headroom`, from 0
+   * to 1.
+   *
+   * Grows by the share `headroom`, by at least `step`, and only if the bound
+   * refused work. A bound that is ten times too low recovers within half a
+   * dozen windows, and it does not overshoot as long as the time grows no
+   * faster than the amount in use.
    */
   raise(headroom: number, step: number, inUse: number): void {
-    const reached = this.#reached;
+    const refusedWork = this.#refusedWork;
     this.#endWindow(inUse);
-    if (reached) {
+    if (refusedWork) {
       const probe = this.#ceiling * PROBING_GROWTH;
       this.#ceiling += Math.max(this.#probingStep, probe);
       const growth = Math.max(step, this.#value * headroom);
       const raised = this.#value + growth;
-      this.#value = Math.min(this.#most, this.#ceiling, raised);
+      this.#value = Math.min(this.#max, this.#ceiling, raised);
     }
   }
 
-  /** Ends a window that was too slow by `excess` (2: twice the goal). */
+  /**
+   * Ends a window that was too slow by the factor `excess` (2: twice the goal).
+   */
   cut(excess: number, inUse: number): void {
     const used = Math.min(this.#value, Math.max(this.#highestUse, inUse));
     this.#endWindow(inUse);
     if (inUse <= this.#value) {
-      const factor = clamp(1 / excess, DEEPEST_CUT, SHALLOWEST_CUT);
-      this.#value = Math.max(this.#least, used * factor);
+      const factor = clamp(1 / excess, MIN_CUT_FACTOR, MAX_CUT_FACTOR);
+      this.#value = Math.max(this.#min, used * factor);
     }
   }
 
-  /** The engine lets work wait inside it with `inUse` served. */
-  blocked(inUse: number): void {
-    this.#value = Math.max(this.#least, inUse);
+  /**
+   * Caps the bound at `inUse`, the amount served when the engine let further
+   * work wait inside it.
+   */
+  capAt(inUse: number): void {
+    this.#value = Math.max(this.#min, inUse);
     this.#ceiling = this.#value;
   }
 
-  /** Ends a window that calls for no change. */
+  /** Ends a window without changing the bound. */
   hold(inUse: number): void {
     this.#endWindow(inUse);
   }
 
   #endWindow(inUse: number): void {
     this.#highestUse = inUse;
-    this.#reached = false;
+    this.#refusedWork = false;
   }
 }
 
-function clamp(value: number, least: number, most: number): number {
-  return Math.min(most, Math.max(least, value));
+function clamp(value: number, min: number, max: number): number {
+  return Math.min(max, Math.max(min, value));
 }
--- a/packages/decisions/src/limits/attainable_goal.ts
+++ b/packages/decisions/src/limits/attainable_goal.ts
@@ -1,19 +1,19 @@
 /**
- * The time between tokens that an engine is held to.
+ * The goal for the time between tokens that an engine is held to.
  *
- * An engine that misses the goal with hardly anything to do is held to twice its
- * own unloaded time instead: a smaller batch would waste it and still miss the
- * goal. Trials of one and a half, two and three times are in
- * docs/design/queueing-and-limits.md.
+ * An engine that misses the configured goal although it is almost idle is held
+ * to twice its own unloaded time instead: a smaller batch would waste the
+ * engine and still miss the goal. docs/design/queueing-and-limits.md compares
+ * factors of one and a half, two and three.
  * @module
  */
 import { RecentMinimum } from "./recent_minimum.ts";
 
-/** With as few as these an engine shows its unloaded time. */
-export const UNLOADED_SEQUENCES = 4;
+/** Up to this many sequences, an engine runs at its unloaded speed. */
+export const MAX_UNLOADED_SEQUENCES = 4;
 const UNLOADED_TOLERANCE = 2;
 
-/** Times are milliseconds. */
+/** All times are in milliseconds. */
 export class AttainableGoal {
   readonly #goal: number;
   readonly #unloaded = new RecentMinimum();
@@ -27,10 +27,13 @@
     return Math.max(this.#goal, unloaded * UNLOADED_TOLERANCE);
   }
 
-  /** A loaded engine's time says only that the unloaded one is no longer. */
+  /**
+   * Observes a window's time between tokens. The time of a loaded engine is
+   * only an upper bound of the unloaded one.
+   */
   observe(time: number, running: number, now: number): void {
     const known = this.#unloaded.value ?? 0;
-    if (running <= UNLOADED_SEQUENCES || time < known) {
+    if (running <= MAX_UNLOADED_SEQUENCES || time < known) {
       this.#unloaded.observe(time, now);
     }
   }
--- a/packages/decisions/src/limits/call_limit.ts
+++ b/packages/decisions/src/limits/call_limit.ts
@@ -1,15 +1,17 @@
 /**
- * The limit of a plain service's backend server, found from latency.
+ * The adaptive concurrency limit of a plain service's backend server, derived
+ * from latency.
  *
  * Load pattern: calls of a few milliseconds to a server with a fixed number of
- * workers behind it. Above that number calls only wait inside the server, where
- * no tier is known; without a limit the urgent booking stands there behind the
+ * workers. Calls beyond that number only wait inside the server, which does not
+ * know their tiers. Without a limit, an urgent booking waits there behind a
  * burst of status look-ups.
  *
- * The median of a window is held within twice the recent unloaded latency: at
- * that point as much time is spent waiting inside the server as being served,
- * and more concurrency adds no throughput. Twice, and the median, because routes
- * differ and single slow calls are common.
+ * The median latency of a window is held within twice the recent unloaded
+ * latency. At that point calls spend as much time waiting inside the server as
+ * being served, and more concurrency adds no throughput. The median and the
+ * factor of two tolerate routes of different latency and single slow calls,
+ * both of which are common.
  * @module
  */
 import type {
@@ -19,87 +21,100 @@
 import { AdaptiveBound } from "./adaptive_bound.ts";
 import { ConcurrencyLimit } from "./concurrency_limit.ts";
 import type { Outcome } from "./concurrency_limit.ts";
-import { LoneRun } from "./lone_run.ts";
-import { PassedOver } from "./passed_over.ts";
+import { ExclusiveRun } from "./exclusive_run.ts";
+import { StarvationGuard } from "./starvation_guard.ts";
 import { RecentMinimum } from "./recent_minimum.ts";
-import { TimesWindow } from "./times_window.ts";
-import { WindowJudge } from "./window_judge.ts";
+import { LatencyHistogram } from "./latency_histogram.ts";
+import { BoundController } from "./bound_controller.ts";
 
-const WINDOW = 250;
-const LEAST_WINDOW_CALLS = 8;
-const TOLERANCE = 2;
-const UNLOADED_CALLS = 2;
-const UNLOADED_SHARE = 0.5;
-const FAILED_SHARE = 0.5;
-/** Failures may come from load: each bad window halves, never to none. */
+const WINDOW_LENGTH = 250;
+const MIN_WINDOW_CALLS = 8;
+const LATENCY_TOLERANCE = 2;
+const MAX_UNLOADED_CALLS = 2;
+const MAX_UNLOADED_SHARE = 0.5;
+const MAX_FAILED_SHARE = 0.5;
+/**
+ * Failures may be caused by load: a window of mostly failed calls is treated as
+ * if it took this many times the goal. The bound never falls below one call.
+ */
 const FAILURE_EXCESS = 2;
-/** Silence of the oldest call, in tolerated latencies, that counts as slow. */
-const SILENT_LATENCIES = 5;
-/** Differences below this are the network's and the event loop's. */
-const SHORTEST_LATENCY = 2;
-const MOST_CALLS = 4096;
+/**
+ * A server is taken to be slow if no call succeeded in a window and the oldest
+ * running one is older than this many tolerated latencies.
+ */
+const STALL_LATENCIES = 5;
+/**
+ * Latency differences below this many milliseconds come from the network and
+ * the event loop.
+ */
+const MIN_LATENCY = 2;
+const MAX_CALLS = 4096;
 const INITIAL_CALLS = 4;
 
-/** See the module. */
 export class CallLimit extends ConcurrencyLimit {
   readonly #bound: AdaptiveBound;
-  readonly #judge = new WindowJudge();
-  /** Oldest first. */
-  readonly #started = new Map<string, number>();
-  readonly #latencies = new TimesWindow();
+  readonly #controller = new BoundController();
+  /** Start times by request id, oldest first. */
+  readonly #startTimes = new Map<string, number>();
+  readonly #latencies = new LatencyHistogram();
   readonly #unloaded = new RecentMinimum();
-  readonly #loneRun = new LoneRun();
-  readonly #passedOver = new PassedOver();
+  readonly #exclusiveRun = new ExclusiveRun();
+  readonly #starvationGuard = new StarvationGuard();
   #now = 0;
-  #failed = 0;
-  #windowStarted: number | undefined;
+  #failures = 0;
+  #windowStartedAt: number | undefined;
 
   constructor(options: { initial?: number } = {}) {
     super();
     this.#bound = new AdaptiveBound({
       initial: Math.max(1, options.initial ?? INITIAL_CALLS),
-      least: 1,
-      most: MOST_CALLS,
+      min: 1,
+      max: MAX_CALLS,
     });
   }
 
   override get running(): number {
-    return this.#started.size;
+    return this.#startTimes.size;
   }
 
   override get limit(): number {
     return Math.max(1, Math.floor(this.#bound.value));
   }
 
-  override admits(waiting: WaitingReservation): boolean {
+  override admits(reservation: WaitingReservation): boolean {
     if (this.isIdle) {
-      this.#loneRun.admitted(waiting);
+      this.#exclusiveRun.recordAdmission(reservation);
       return true;
     }
-    if (this.#loneRun.active) {
+    if (this.#exclusiveRun.active) {
       return false;
     }
-    if (waiting.suspect) {
+    if (reservation.suspect) {
       const now = this.#now;
-      this.#passedOver.refused({ waiting, long: false, room: "alone", now });
+      this.#starvationGuard.recordRefusal({
+        reservation,
+        long: false,
+        capacity: "exclusive",
+        now,
+      });
       return false;
     }
-    if (this.#passedOver.bars(waiting, false, this.#now)) {
+    if (this.#starvationGuard.blocks(reservation, false, this.#now)) {
       return false;
     }
     if (this.running >= this.limit) {
-      this.#bound.refused();
+      this.#bound.recordRefusal();
       return false;
     }
     return true;
   }
 
   override started(id: string, _cost: Cost, now: number): void {
-    this.#passedOver.started(id);
-    this.#loneRun.started(id);
-    this.#started.set(id, now);
-    this.#bound.used(this.running);
-    this.#advance(now);
+    this.#starvationGuard.recordStart(id);
+    this.#exclusiveRun.recordStart(id);
+    this.#startTimes.set(id, now);
+    this.#bound.recordUse(this.running);
+    this.#update(now);
   }
 
   override firstToken(_id: string, _now: number): void {}
@@ -107,75 +122,87 @@
   override progressed(_id: string, _outputTokens: number, _now: number): void {}
 
   override finished(id: string, outcome: Outcome, now: number): void {
-    const started = this.#started.get(id);
-    if (started === undefined) {
+    const startedAt = this.#startTimes.get(id);
+    if (startedAt === undefined) {
       return;
     }
-    this.#started.delete(id);
-    this.#loneRun.finished(id);
+    this.#startTimes.delete(id);
+    this.#exclusiveRun.recordEnd(id);
     if (outcome === "failed") {
-      this.#failed += 1;
+      this.#failures += 1;
     }
     if (outcome === "ok") {
-      this.#latencies.add(now - started);
+      this.#latencies.record(now - startedAt);
     }
-    this.#advance(now);
+    this.#update(now);
   }
 
-  #advance(now: number): void {
+  #update(now: number): void {
     this.#now = now;
-    this.#windowStarted ??= now;
-    if (now - this.#windowStarted < WINDOW) {
+    this.#windowStartedAt ??= now;
+    if (now - this.#windowStartedAt < WINDOW_LENGTH) {
       return;
     }
-    this.#countSilence(now);
-    if (this.#latencies.weight + this.#failed < LEAST_WINDOW_CALLS) {
+    this.#recordStall(now);
+    if (this.#latencies.weight + this.#failures < MIN_WINDOW_CALLS) {
       return;
     }
-    this.#windowStarted = now;
-    this.#judgeWindow(now);
+    this.#windowStartedAt = now;
+    this.#updateBound(now);
     this.#latencies.reset();
-    this.#failed = 0;
+    this.#failures = 0;
   }
 
-  /** A stalled server ends no call to measure: its oldest call is the measure. */
-  #countSilence(now: number): void {
-    const [oldest] = this.#started.values();
+  /**
+   * No call of a stalled server ends, so the age of its oldest call is measured
+   * instead.
+   */
+  #recordStall(now: number): void {
+    const [oldest] = this.#startTimes.values();
     if (oldest === undefined || this.#latencies.weight > 0) {
       return;
     }
     const age = now - oldest;
-    if (age > this.#goal() * SILENT_LATENCIES) {
-      this.#latencies.add(age, LEAST_WINDOW_CALLS);
+    if (age > this.#toleratedLatency() * STALL_LATENCIES) {
+      this.#latencies.record(age, MIN_WINDOW_CALLS);
     }
   }
 
-  #judgeWindow(now: number): void {
+  #updateBound(now: number): void {
     const inUse = this.running;
-    if (this.#failed > FAILED_SHARE * (this.#failed + this.#latencies.weight)) {
+    if (
+      this.#failures >
+        MAX_FAILED_SHARE * (this.#failures + this.#latencies.weight)
+    ) {
       this.#bound.cut(FAILURE_EXCESS, inUse);
       return;
     }
     const median = this.#latencies.quantile(0.5);
     this.#observeUnloaded(median, now);
     const bound = { bound: this.#bound, step: 1, inUse };
-    this.#judge.judge(median, this.#goal(), [bound]);
+    this.#controller.endWindow(median, this.#toleratedLatency(), [bound]);
   }
 
   /**
-   * Under load that lasts, each window's median holds waiting. Taken for the
-   * unloaded latency it would let the bound grow again and again.
+   * Under lasting load the median of every window includes waiting time. Taken
+   * for the unloaded latency, it would let the bound grow again and again.
    */
   #observeUnloaded(median: number, now: number): void {
-    const few = Math.max(UNLOADED_CALLS, this.limit * UNLOADED_SHARE);
-    if (this.#unloaded.value === undefined || this.running <= few) {
+    const unloadedCalls = Math.max(
+      MAX_UNLOADED_CALLS,
+      this.limit * MAX_UNLOADED_SHARE,
+    );
+    if (this.#unloaded.value === undefined || this.running <= unloadedCalls) {
       this.#unloaded.observe(median, now);
     }
   }
 
-  /** Infinite until the first window. */
-  #goal(): number {
+  /**
+   * Tolerated latency in milliseconds; infinite until the first window has
+   * ended.
+   */
+  #toleratedLatency(): number {
     const unloaded = this.#unloaded.value ?? Infinity;
-    return TOLERANCE * Math.max(SHORTEST_LATENCY, unloaded);
+    return LATENCY_TOLERANCE * Math.max(MIN_LATENCY, unloaded);
   }
 }
--- a/packages/decisions/src/limits/concurrency_limit.ts
+++ b/packages/decisions/src/limits/concurrency_limit.ts
@@ -1,4 +1,4 @@
-/** How much a backend server may run at once. @module */
+/** Limits how many requests a backend server runs at once. @module */
 import type {
   Cost,
   WaitingReservation,
@@ -8,28 +8,31 @@
 export type Outcome = "ok" | "failed" | "cancelled";
 
 /**
- * Found from what the server shows, never set by hand. A request counts as
- * running from `started` to `finished`; unknown ids are ignored.
+ * An adaptive concurrency limit, derived from the measured behaviour of the
+ * server rather than configured. A request counts as running from `started` to
+ * `finished`; events with unknown ids are ignored.
  */
 export abstract class ConcurrencyLimit {
-  /** Whether there is room for a reservation now; takes none. */
-  abstract admits(waiting: WaitingReservation): boolean;
+  /**
+   * Returns whether the reservation may start now. Does not allocate capacity.
+   */
+  abstract admits(reservation: WaitingReservation): boolean;
 
-  /** The request was granted, and holds room from now on. */
+  /** The request was granted and uses capacity from now on. */
   abstract started(id: string, cost: Cost, now: number): void;
 
-  /** The first token, or the head of a plain answer, has come. */
+  /** The first token, or the head of a plain response, has arrived. */
   abstract firstToken(id: string, now: number): void;
 
-  /** `outputTokens` more tokens have come since the last report. */
+  /** `outputTokens` tokens have arrived since the previous call. */
   abstract progressed(id: string, outputTokens: number, now: number): void;
 
   abstract finished(id: string, outcome: Outcome, now: number): void;
 
-  /** Requests that run now. */
+  /** Number of running requests. */
   abstract get running(): number;
 
-  /** Requests that may run at once; at least 1. */
+  /** Maximum number of running requests; at least 1. */
   abstract get limit(): number;
 
   get isIdle(): boolean {
--- a/packages/decisions/src/limits/prefill_rate.ts
+++ b/packages/decisions/src/limits/prefill_rate.ts
@@ -1,48 +1,56 @@
 /**
- * Prompt tokens that an engine prefills per millisecond, measured over the time
- * in which it had any to prefill. Prefixes found in its cache count as prefilled:
- * what matters is how soon the first token comes.
+ * Measures how many prompt tokens an engine prefills per millisecond, over the
+ * time in which it has prompts to prefill. Prefixes found in the engine's cache
+ * count as prefilled, because what matters is how soon the first token comes.
  * @module
  */
 
-/** Prefilling milliseconds remembered: a slow engine shows within seconds. */
-const MEMORY = 4000;
-/** Assumed until measured: an older engine's 2,000 tokens a second. */
-const COLD_RATE = 2;
-const COLD_WEIGHT = 500;
-const SLOWEST_RATE = 0.01;
 /**
- * A prompt that was blocked says nothing of the rate, but so many in a row say
- * that the engine has become slow.
+ * Milliseconds of prefilling after which a measurement has lost most of its
+ * weight, so that a slow engine shows within seconds.
  */
-const BLOCKED_IN_A_ROW = 3;
+const DECAY_TIME = 4000;
+/**
+ * Rate until the first measurement, in tokens per millisecond: the 2,000 tokens
+ * a second of an older engine.
+ */
+const INITIAL_RATE = 2;
+const INITIAL_WEIGHT = 500;
+const MIN_RATE = 0.01;
+/**
+ * The time of a prompt that was blocked says nothing about the prefill rate,
+ * but this many in a row mean that the engine has become slow.
+ */
+const MIN_CONSECUTIVE_BLOCKED = 3;
 
-/** One prompt's way to its first token. */
-export type PrefillTime = {
+/** The time from the start of a prompt to its first token. */
+export type PrefillMeasurement = {
   promptTokens: number;
-  /** Milliseconds since it was started, or since the one before it ended. */
+  /**
+   * Milliseconds since the prompt was started or, if that was later, since the
+   * previous prefill ended.
+   */
   elapsed: number;
   blocked: boolean;
 };
 
-/** See the module. */
 export class PrefillRate {
-  #busy = COLD_WEIGHT;
-  #tokens = COLD_WEIGHT * COLD_RATE;
-  #blocked = 0;
+  #prefillTime = INITIAL_WEIGHT;
+  #tokens = INITIAL_WEIGHT * INITIAL_RATE;
+  #consecutiveBlocked = 0;
 
-  /** Tokens per millisecond. */
+  /** Prompt tokens per millisecond. */
   get value(): number {
-    return Math.max(SLOWEST_RATE, this.#tokens / this.#busy);
+    return Math.max(MIN_RATE, this.#tokens / this.#prefillTime);
   }
 
-  observe({ promptTokens, elapsed, blocked }: PrefillTime): void {
-    this.#blocked = blocked ? this.#blocked + 1 : 0;
-    if (blocked && this.#blocked < BLOCKED_IN_A_ROW) {
+  observe({ promptTokens, elapsed, blocked }: PrefillMeasurement): void {
+    this.#consecutiveBlocked = blocked ? this.#consecutiveBlocked + 1 : 0;
+    if (blocked && this.#consecutiveBlocked < MIN_CONSECUTIVE_BLOCKED) {
       return;
     }
-    const kept = Math.exp(-elapsed / MEMORY);
+    const kept = Math.exp(-elapsed / DECAY_TIME);
     this.#tokens = this.#tokens * kept + promptTokens;
-    this.#busy = this.#busy * kept + MEMORY * (1 - kept);
+    this.#prefillTime = this.#prefillTime * kept + DECAY_TIME * (1 - kept);
   }
 }
--- a/packages/decisions/src/limits/prefills.ts
+++ b/packages/decisions/src/limits/prefills.ts
@@ -1,63 +1,74 @@
 /**
- * Prompts on their way to the first token, and whether they wait inside the engine.
+ * Tracks prompts until their first token and detects prompts that wait inside
+ * the engine.
  *
  * Load pattern: quotes of 7,000 tokens on an engine whose memory holds ten. The
- * streams that run keep their pace, so the time between tokens shows nothing, and
- * the eleventh waits inside for minutes with short requests of higher tiers
- * behind it. It shows only in this: no prompt gets its first token although the
- * others decode. In a trial the wait was taken for slow prefilling and the
- * engine was given one prompt at a time.
+ * running streams keep their speed, so the time between tokens shows nothing,
+ * while the eleventh quote waits inside for minutes with short requests of
+ * higher tiers behind it. The only sign is that no prompt gets its first token
+ * although the other sequences are decoding. If this wait is taken for slow
+ * prefilling, the engine is given only one prompt at a time.
  * @module
  */
-import type { PrefillTime } from "./prefill_rate.ts";
+import type { PrefillMeasurement } from "./prefill_rate.ts";
 
-/** Half of what a first token may take. */
-const PATIENCE = 650;
-/** A prompt may take this many times as long as its length says. */
-const TOLERANCE = 2;
+/**
+ * Milliseconds beyond the tolerated prefill time after which a prompt counts as
+ * blocked; half the goal for the first token.
+ */
+const BLOCKED_TIMEOUT = 650;
+/**
+ * A prefill may take this many times as long as expected from the prompt's
+ * length.
+ */
+const PREFILL_TOLERANCE = 2;
 
-type Prefill = { started: number; promptTokens: number };
+type Prefill = { startedAt: number; promptTokens: number };
 
-/** The prompts in the order in which they were handed over. */
+/** Prompts without a first token, in the order in which they were started. */
 export class Prefills {
   readonly #prefills = new Map<string, Prefill>();
-  #lastEnd = -Infinity;
-  #blocked = false;
+  #lastEndAt = -Infinity;
+  #oldestBlocked = false;
 
-  started(id: string, promptTokens: number, now: number): void {
-    this.#prefills.set(id, { started: now, promptTokens });
+  recordStart(id: string, promptTokens: number, now: number): void {
+    this.#prefills.set(id, { startedAt: now, promptTokens });
   }
 
-  /** The first token has come, or the request has ended without one. */
-  ended(id: string, now: number): PrefillTime | undefined {
+  /**
+   * Ends a prefill: the first token has arrived, or the request has ended
+   * without one.
+   */
+  recordEnd(id: string, now: number): PrefillMeasurement | undefined {
     const prefill = this.#prefills.get(id);
     if (prefill === undefined) {
       return undefined;
     }
     this.#prefills.delete(id);
     const { promptTokens } = prefill;
-    const elapsed = this.#waited(prefill, now);
-    const blocked = this.#blocked;
-    this.#lastEnd = now;
-    this.#blocked = false;
+    const elapsed = this.#elapsed(prefill, now);
+    const blocked = this.#oldestBlocked;
+    this.#lastEndAt = now;
+    this.#oldestBlocked = false;
     return { promptTokens, elapsed, blocked };
   }
 
   /**
-   * Whether the oldest prompt waits inside the engine; said once. `rate` is in
-   * tokens per millisecond.
+   * Returns whether the oldest prompt waits inside the engine. Returns `true`
+   * only once until a prefill ends. `rate` is in tokens per millisecond.
    */
-  noticeBlocked(rate: number, now: number): boolean {
+  detectBlocked(rate: number, now: number): boolean {
     const [oldest] = this.#prefills.values();
-    if (oldest === undefined || this.#blocked) {
+    if (oldest === undefined || this.#oldestBlocked) {
       return false;
     }
-    const explained = TOLERANCE * oldest.promptTokens / rate;
-    this.#blocked = this.#waited(oldest, now) > PATIENCE + explained;
-    return this.#blocked;
+    const tolerated = PREFILL_TOLERANCE * oldest.promptTokens / rate;
+    this.#oldestBlocked =
+      this.#elapsed(oldest, now) > BLOCKED_TIMEOUT + tolerated;
+    return this.#oldestBlocked;
   }
 
-  #waited(prefill: Prefill, now: number): number {
-    return now - Math.max(prefill.started, this.#lastEnd);
+  #elapsed(prefill: Prefill, now: number): number {
+    return now - Math.max(prefill.startedAt, this.#lastEndAt);
   }
 }
--- a/packages/decisions/src/limits/recent_minimum.ts
+++ b/packages/decisions/src/limits/recent_minimum.ts
@@ -1,40 +1,41 @@
 /**
- * The smallest value of the last ten to twenty seconds: what an unloaded server
- * shows. A minimum of all time would call a server slow for ever once it has
- * been replaced by an older generation or given a larger model.
+ * The smallest value of the last ten to twenty seconds, which estimates the
+ * value of the unloaded server. With an all-time minimum, a server would count
+ * as slow for ever once it has been replaced by an older generation or given a
+ * larger model.
  * @module
  */
 
-const SPAN = 10_000;
+const PERIOD = 10_000;
 
 /**
- * Without a new value the last one stays. Kept in two halves, so that
- * forgetting needs no list of values.
+ * The last minimum stays if no new value comes. Values are kept as the minima
+ * of two periods, so that old ones can be dropped without a list of values.
  */
 export class RecentMinimum {
   #current = Infinity;
   #previous = Infinity;
-  #turned = -Infinity;
+  #rotatedAt = -Infinity;
 
   observe(value: number, now: number): void {
-    this.#turn(now);
+    this.#rotate(now);
     this.#current = Math.min(this.#current, value);
   }
 
-  /** The minimum; undefined before the first value. */
+  /** The minimum, or `undefined` before the first value. */
   get value(): number | undefined {
     const smallest = Math.min(this.#current, this.#previous);
     return Number.isFinite(smallest) ? smallest : undefined;
   }
 
-  #turn(now: number): void {
-    if (now - this.#turned < SPAN) {
+  #rotate(now: number): void {
+    if (now - this.#rotatedAt < PERIOD) {
       return;
     }
     if (Number.isFinite(this.#current)) {
       this.#previous = this.#current;
       this.#current = Infinity;
     }
-    this.#turned = now;
+    this.#rotatedAt = now;
   }
 }
--- a/packages/decisions/src/limits/running_sequence.ts
+++ b/packages/decisions/src/limits/running_sequence.ts
@@ -1,10 +1,16 @@
-/** A request that an engine runs, as its limit sees it. @module */
+/**
+ * A running request of a model engine, as tracked by the engine's limit.
+ * @module
+ */
 import type { Cost } from "../queueing/waiting_reservation.ts";
 
-/** `lastToken` is undefined until the first token. */
+/**
+ * `lastTokenAt` is the instant of the last token in milliseconds, or
+ * `undefined` before the first one.
+ */
 export type RunningSequence = {
   cost: Cost;
-  /** Which budget it holds, as decided when it started. */
+  /** Whether it counts as long work; decided when it started. */
   long: boolean;
-  lastToken: number | undefined;
+  lastTokenAt: number | undefined;
 };
--- a/packages/decisions/src/limits/token_limit.ts
+++ b/packages/decisions/src/limits/token_limit.ts
@@ -1,27 +1,31 @@
 /**
- * The limit of a model engine, in sequences, tokens and prompt tokens not yet
- * prefilled, found from measured time to first token and time between tokens.
+ * The adaptive concurrency limit of a model engine, in sequences, tokens and
+ * outstanding prompt tokens (not yet prefilled), derived from the measured time
+ * to first token and time between tokens.
  *
- * Load pattern: engines of unlike speed that admit whatever comes. Without a
- * limit each batch grows until every stream misses its time between tokens; with
- * one set by hand the older generation is overrun and the newer one idles, and
- * an engine that slows down keeps its full share.
+ * Load pattern: engines of different speed that accept whatever comes. Without
+ * a limit, each batch grows until every stream misses the goal for the time
+ * between tokens. With a fixed limit, the older generation is overloaded and
+ * the newer one underused, and an engine that slows down keeps its full share.
  *
- * - Sequences and tokens follow the mean time between tokens against the goal.
- * - Outstanding prompt tokens follow the measured prefill rate: an eighth of
- *   the goal for the first token may stand before a new prompt inside the engine,
- *   where no tier is known; less leaves the engine waiting for prompts. This also bounds what waits in an engine
- *   that runs fewer sequences at once than it takes.
- * - An engine that cannot keep the goal with hardly anything to do is held to a
+ * - Sequences and tokens follow the mean time between tokens relative to its
+ *   goal.
+ * - Outstanding prompt tokens follow the measured prefill rate. The prompts
+ *   before a new one inside the engine, where tiers are unknown, may take up to
+ *   an eighth of the goal for the first token; with less, the engine would wait
+ *   for prompts. This also bounds what waits in an engine that runs fewer
+ *   sequences at once than it accepts.
+ * - An engine that misses the goal although it is almost idle is held to a
  *   multiple of its own unloaded time instead: a smaller batch would waste the
  *   engine and still miss the goal.
  *
- * Long and short requests hold separate budgets. A request is long when an
- * engine full of its like would free a place less often than a short request may
- * wait. Long ones get three quarters of the sequences and tokens and half of the
- * prefill while short work of their tier or a higher one comes, so a place for
- * it comes free soon; short ones leave them that room while they wait. A long one
- * is always admitted when it is the only one, so neither waits for ever.
+ * Long and short requests have separate budgets. A request is long if an engine
+ * full of such requests would free a slot less often than a short request may
+ * wait. While short work of the same or a higher tier arrives, long requests
+ * get three quarters of the sequences and tokens and half of the prefill, so
+ * that a slot for short work becomes free soon. Short requests leave the share
+ * of long ones free while those wait. A request that would be the only one of
+ * its kind needs only a free slot, so neither kind starves.
  * @module
  */
 import type {
@@ -29,78 +33,90 @@
   WaitingReservation,
 } from "../queueing/waiting_reservation.ts";
 import { AdaptiveBound } from "./adaptive_bound.ts";
-import { AttainableGoal, UNLOADED_SEQUENCES } from "./attainable_goal.ts";
-import { BetweenTokens } from "./between_tokens.ts";
+import { AttainableGoal, MAX_UNLOADED_SEQUENCES } from "./attainable_goal.ts";
+import { TokenIntervals } from "./token_intervals.ts";
 import { ConcurrencyLimit } from "./concurrency_limit.ts";
 import type { Outcome } from "./concurrency_limit.ts";
-import { LoneRun } from "./lone_run.ts";
-import { PassedOver } from "./passed_over.ts";
-import type { RefusedRoom } from "./passed_over.ts";
+import { ExclusiveRun } from "./exclusive_run.ts";
+import { StarvationGuard } from "./starvation_guard.ts";
+import type { RefusedCapacity } from "./starvation_guard.ts";
 import { PrefillRate } from "./prefill_rate.ts";
 import { Prefills } from "./prefills.ts";
-import { RoomShares } from "./room_shares.ts";
+import { CapacityShares } from "./capacity_shares.ts";
 import type { RunningSequence } from "./running_sequence.ts";
-import { WindowJudge } from "./window_judge.ts";
-import { tokensOf, WorkBudget } from "./work_budget.ts";
+import { BoundController } from "./bound_controller.ts";
+import { CapacityUsage, tokensOf } from "./capacity_usage.ts";
 
-/** Time between tokens that 95 in 100 must keep, in milliseconds. */
-export const BETWEEN_TOKENS_GOAL = 38;
-/** Time to first token that 95 in 100 must keep, in milliseconds. */
-export const FIRST_TOKEN_GOAL = 1300;
+/**
+ * Goal for the time between tokens in milliseconds, which 95 in 100 requests
+ * must meet.
+ */
+export const TIME_BETWEEN_TOKENS_GOAL = 38;
+/**
+ * Goal for the time to first token in milliseconds, which 95 in 100 requests
+ * must meet.
+ */
+export const TIME_TO_FIRST_TOKEN_GOAL = 1300;
 
 const PREFILL_SHARE = 0.125;
 const LONG_PREFILL_SHARE = 0.5;
-/** Share of the goal for the first token that a short request may wait. */
-const PLACE_WAIT_SHARE = 0.5;
-/** An engine that is cut to a few places makes no request longer. */
-const LEAST_PLACES = 16;
-/** Few enough to show the engine's unloaded time in the first window. */
-const INITIAL_SEQUENCES = UNLOADED_SEQUENCES;
-const MOST_SEQUENCES = 4096;
+/**
+ * Share of the goal for the first token that a short request may wait for a
+ * slot.
+ */
+const SLOT_WAIT_SHARE = 0.5;
+/**
+ * Minimum number of slots assumed when requests are classified, so that
+ * requests don't become long because an engine's limit was cut to a few slots.
+ */
+const MIN_CLASSIFICATION_SLOTS = 16;
+/** Few enough to measure the engine's unloaded time in the first window. */
+const INITIAL_SEQUENCES = MAX_UNLOADED_SEQUENCES;
+const MAX_SEQUENCES = 4096;
 const INITIAL_TOKENS = 32_768;
-const LEAST_TOKENS = 256;
-const MOST_TOKENS = 1 << 26;
+const MIN_TOKENS = 256;
+const MAX_TOKENS = 1 << 26;
 const TOKEN_STEP = 512;
 
-/** Settings of a {@link TokenLimit}; the goals are milliseconds. */
+/** Options of a {@link TokenLimit}; the goals are in milliseconds. */
 export type TokenLimitOptions = {
   betweenTokensGoal?: number;
   firstTokenGoal?: number;
 };
 
-/** See the module. */
 export class TokenLimit extends ConcurrencyLimit {
   readonly #betweenTokensGoal: number;
   readonly #firstTokenGoal: number;
   readonly #sequences = new AdaptiveBound({
     initial: INITIAL_SEQUENCES,
-    least: 1,
-    most: MOST_SEQUENCES,
+    min: 1,
+    max: MAX_SEQUENCES,
     probingStep: 1,
   });
   readonly #tokens = new AdaptiveBound({
     initial: INITIAL_TOKENS,
-    least: LEAST_TOKENS,
-    most: MOST_TOKENS,
+    min: MIN_TOKENS,
+    max: MAX_TOKENS,
   });
-  readonly #judge = new WindowJudge();
-  readonly #betweenTokens = new BetweenTokens();
+  readonly #controller = new BoundController();
+  readonly #tokenIntervals = new TokenIntervals();
   readonly #goal: AttainableGoal;
   readonly #prefills = new Prefills();
   readonly #prefillRate = new PrefillRate();
-  readonly #long = new WorkBudget();
-  readonly #short = new WorkBudget();
+  readonly #longUsage = new CapacityUsage();
+  readonly #shortUsage = new CapacityUsage();
   readonly #running = new Map<string, RunningSequence>();
-  readonly #loneRun = new LoneRun();
-  readonly #passedOver = new PassedOver();
-  readonly #shares = new RoomShares();
+  readonly #exclusiveRun = new ExclusiveRun();
+  readonly #starvationGuard = new StarvationGuard();
+  readonly #capacityShares = new CapacityShares();
   #now = 0;
 
   constructor(options: TokenLimitOptions = {}) {
     super();
-    this.#betweenTokensGoal = options.betweenTokensGoal ?? BETWEEN_TOKENS_GOAL;
+    this.#betweenTokensGoal = options.betweenTokensGoal ??
+      TIME_BETWEEN_TOKENS_GOAL;
     this.#goal = new AttainableGoal(this.#betweenTokensGoal);
-    this.#firstTokenGoal = options.firstTokenGoal ?? FIRST_TOKEN_GOAL;
+    this.#firstTokenGoal = options.firstTokenGoal ?? TIME_TO_FIRST_TOKEN_GOAL;
   }
 
   override get running(): number {
@@ -111,34 +127,42 @@
     return Math.max(1, Math.floor(this.#sequences.value));
   }
 
-  /** Tokens that requests may hold together. */
+  /** Maximum tokens of all running requests together. */
   get tokenLimit(): number {
     return this.#tokens.value;
   }
 
-  /** Prompt tokens without a first token that may stand before a new prompt. */
+  /**
+   * A new prompt is started only while fewer prompt tokens than this wait for
+   * their first token.
+   */
   get prefillLimit(): number {
     return this.#prefillRate.value * this.#firstTokenGoal * PREFILL_SHARE;
   }
 
-  /** Takes no room, but notes what was refused and why. */
-  override admits(waiting: WaitingReservation): boolean {
+  /** Allocates no capacity, but records what was refused and why. */
+  override admits(reservation: WaitingReservation): boolean {
     if (this.isIdle) {
-      this.#loneRun.admitted(waiting);
+      this.#exclusiveRun.recordAdmission(reservation);
       return true;
     }
-    if (this.#loneRun.active) {
+    if (this.#exclusiveRun.active) {
       return false;
     }
-    const long = this.#isLong(waiting.cost);
-    this.#shares.note(waiting.tierRank, long, this.#now);
-    const refused = this.#refusedRoom(waiting, long);
-    if (refused === "barred") {
+    const long = this.#isLong(reservation.cost);
+    this.#capacityShares.recordDemand(reservation.tierRank, long, this.#now);
+    const refused = this.#refusedCapacity(reservation, long);
+    if (refused === "blocked") {
       return false;
     }
     if (refused !== undefined) {
       const now = this.#now;
-      this.#passedOver.refused({ waiting, long, room: refused, now });
+      this.#starvationGuard.recordRefusal({
+        reservation,
+        long,
+        capacity: refused,
+        now,
+      });
       return false;
     }
     return true;
@@ -146,25 +170,25 @@
 
   override started(id: string, cost: Cost, now: number): void {
     const long = this.#isLong(cost);
-    this.#passedOver.started(id);
-    this.#loneRun.started(id);
-    this.#running.set(id, { cost, long, lastToken: undefined });
-    this.#prefills.started(id, cost.promptTokens, now);
-    this.#budget(long).start(cost);
-    this.#sequences.used(this.running);
-    this.#tokens.used(this.#heldTokens);
-    this.#advance(now);
+    this.#starvationGuard.recordStart(id);
+    this.#exclusiveRun.recordStart(id);
+    this.#running.set(id, { cost, long, lastTokenAt: undefined });
+    this.#prefills.recordStart(id, cost.promptTokens, now);
+    this.#usageOf(long).recordStart(cost);
+    this.#sequences.recordUse(this.running);
+    this.#tokens.recordUse(this.#tokensInUse);
+    this.#update(now);
   }
 
   override firstToken(id: string, now: number): void {
     const sequence = this.#running.get(id);
-    if (sequence === undefined || sequence.lastToken !== undefined) {
+    if (sequence === undefined || sequence.lastTokenAt !== undefined) {
       return;
     }
-    sequence.lastToken = now;
-    this.#betweenTokens.first(now);
+    sequence.lastTokenAt = now;
+    this.#tokenIntervals.recordFirst(now);
     this.#endPrefill(id, sequence, now);
-    this.#advance(now);
+    this.#update(now);
   }
 
   override progressed(id: string, outputTokens: number, now: number): void {
@@ -172,14 +196,14 @@
     if (sequence === undefined || outputTokens <= 0) {
       return;
     }
-    if (sequence.lastToken === undefined) {
+    if (sequence.lastTokenAt === undefined) {
       this.firstToken(id, now);
       return;
     }
-    const elapsed = now - sequence.lastToken;
-    sequence.lastToken = now;
-    this.#betweenTokens.add(elapsed, outputTokens, now);
-    this.#advance(now);
+    const elapsed = now - sequence.lastTokenAt;
+    sequence.lastTokenAt = now;
+    this.#tokenIntervals.record(elapsed, outputTokens, now);
+    this.#update(now);
   }
 
   override finished(id: string, _outcome: Outcome, now: number): void {
@@ -187,107 +211,116 @@
     if (sequence === undefined) {
       return;
     }
-    if (sequence.lastToken === undefined) {
+    if (sequence.lastTokenAt === undefined) {
       this.#endPrefill(id, sequence, now);
     }
     this.#running.delete(id);
-    this.#loneRun.finished(id);
-    this.#budget(sequence.long).end(sequence.cost);
-    this.#advance(now);
+    this.#exclusiveRun.recordEnd(id);
+    this.#usageOf(sequence.long).recordEnd(sequence.cost);
+    this.#update(now);
   }
 
-  /** `barred` where another is to have the room, or a place will come free. */
-  #refusedRoom(
-    waiting: WaitingReservation,
+  /**
+   * Returns the capacity that the reservation was refused, if any. `blocked`
+   * means that none has to be held for it: the capacity is held for another
+   * reservation already, or a slot will become free without that.
+   */
+  #refusedCapacity(
+    reservation: WaitingReservation,
     long: boolean,
-  ): RefusedRoom | "barred" | undefined {
-    if (waiting.suspect) {
-      return "alone";
+  ): RefusedCapacity | "blocked" | undefined {
+    if (reservation.suspect) {
+      return "exclusive";
     }
-    if (this.#passedOver.bars(waiting, long, this.#now)) {
-      return "barred";
+    if (this.#starvationGuard.blocks(reservation, long, this.#now)) {
+      return "blocked";
     }
-    const share = this.#shares.of(waiting.tierRank, long, this.#now);
-    const held = this.#budget(long);
-    const most = long ? Math.max(1, this.limit * share) : Infinity;
-    if (this.running >= this.limit || held.sequences >= most) {
-      this.#sequences.refused();
-      return "barred";
+    const share = this.#capacityShares.shareOf(
+      reservation.tierRank,
+      long,
+      this.#now,
+    );
+    const usage = this.#usageOf(long);
+    const maxSequences = long ? Math.max(1, this.limit * share) : Infinity;
+    if (this.running >= this.limit || usage.sequences >= maxSequences) {
+      this.#sequences.recordRefusal();
+      return "blocked";
     }
-    return held.sequences === 0
+    return usage.sequences === 0
       ? undefined
-      : this.#refusedTokens(waiting, held, share);
+      : this.#refusedTokens(reservation, usage, share);
   }
 
   #refusedTokens(
-    waiting: WaitingReservation,
-    held: WorkBudget,
+    reservation: WaitingReservation,
+    usage: CapacityUsage,
     share: number,
-  ): RefusedRoom | undefined {
-    const tokens = tokensOf(waiting.cost);
-    if (held.tokens + tokens > this.tokenLimit * share) {
-      this.#tokens.refused();
-      return "own kind";
+  ): RefusedCapacity | undefined {
+    const tokens = tokensOf(reservation.cost);
+    if (usage.tokens + tokens > this.tokenLimit * share) {
+      this.#tokens.recordRefusal();
+      return "same length";
     }
-    if (this.#heldTokens + tokens > this.tokenLimit) {
-      this.#tokens.refused();
-      return "any kind";
+    if (this.#tokensInUse + tokens > this.tokenLimit) {
+      this.#tokens.recordRefusal();
+      return "any length";
     }
-    const prefillShare = held === this.#long ? LONG_PREFILL_SHARE : 1;
+    const prefillShare = usage === this.#longUsage ? LONG_PREFILL_SHARE : 1;
     const prefillLimit = this.prefillLimit * prefillShare;
-    return held.prefillTokens < prefillLimit ? undefined : "own kind";
+    return usage.prefillTokens < prefillLimit ? undefined : "same length";
   }
 
   #isLong(cost: Cost): boolean {
     const prefill = cost.promptTokens / this.#prefillRate.value;
     const decode = cost.outputTokens * this.#betweenTokensGoal;
-    const wait = this.#firstTokenGoal * PLACE_WAIT_SHARE;
-    return prefill + decode > Math.max(LEAST_PLACES, this.limit) * wait;
+    const wait = this.#firstTokenGoal * SLOT_WAIT_SHARE;
+    return prefill + decode >
+      Math.max(MIN_CLASSIFICATION_SLOTS, this.limit) * wait;
   }
 
-  #budget(long: boolean): WorkBudget {
-    return long ? this.#long : this.#short;
+  #usageOf(long: boolean): CapacityUsage {
+    return long ? this.#longUsage : this.#shortUsage;
   }
 
-  get #heldTokens(): number {
-    return this.#long.tokens + this.#short.tokens;
+  get #tokensInUse(): number {
+    return this.#longUsage.tokens + this.#shortUsage.tokens;
   }
 
   #endPrefill(id: string, sequence: RunningSequence, now: number): void {
-    const time = this.#prefills.ended(id, now);
-    if (time !== undefined && sequence.lastToken !== undefined) {
-      this.#prefillRate.observe(time);
+    const measurement = this.#prefills.recordEnd(id, now);
+    if (measurement !== undefined && sequence.lastTokenAt !== undefined) {
+      this.#prefillRate.observe(measurement);
     }
-    this.#budget(sequence.long).endPrefill(sequence.cost);
+    this.#usageOf(sequence.long).recordPrefillEnd(sequence.cost);
   }
 
-  #advance(now: number): void {
+  #update(now: number): void {
     this.#now = now;
-    const prefills = this.#long.prefills + this.#short.prefills;
+    const prefills = this.#longUsage.prefills + this.#shortUsage.prefills;
     const decoding = this.running - prefills;
-    this.#noticeBlocked(decoding, now);
-    const shown = this.#betweenTokens.endWindow(now, decoding);
-    if (shown === undefined) {
+    this.#handleBlockedPrefill(decoding, now);
+    const measured = this.#tokenIntervals.endWindow(now, decoding);
+    if (measured === undefined) {
       return;
     }
-    if (!shown.stalled) {
-      this.#goal.observe(shown.time, this.running, now);
+    if (!measured.stalled) {
+      this.#goal.observe(measured.time, this.running, now);
     }
-    this.#judge.judge(shown.time, this.#goal.value, [
+    this.#controller.endWindow(measured.time, this.#goal.value, [
       { bound: this.#sequences, step: 1, inUse: this.running },
-      { bound: this.#tokens, step: TOKEN_STEP, inUse: this.#heldTokens },
+      { bound: this.#tokens, step: TOKEN_STEP, inUse: this.#tokensInUse },
     ]);
   }
 
-  #noticeBlocked(decoding: number, now: number): void {
+  #handleBlockedPrefill(decoding: number, now: number): void {
     const rate = this.#prefillRate.value;
-    if (decoding === 0 || !this.#prefills.noticeBlocked(rate, now)) {
+    if (decoding === 0 || !this.#prefills.detectBlocked(rate, now)) {
       return;
     }
 
-    this.#sequences.blocked(decoding);
-    this.#tokens.blocked(
-      this.#long.decodingTokens + this.#short.decodingTokens,
+    this.#sequences.capAt(decoding);
+    this.#tokens.capAt(
+      this.#longUsage.decodingTokens + this.#shortUsage.decodingTokens,
     );
   }
 }
--- a/packages/decisions/test/token_limit_test.ts
+++ b/packages/decisions/test/token_limit_test.ts
@@ -20,19 +20,23 @@
     count += 1;
     const arrived = engine.now;
     const times = { arrived, deadline: arrived + 600_000 };
-    const one = waitingReservation(`${count}`, { cost, ...times, ...fields });
-    queue.offer(one, arrived);
-    return one.id;
+    const reservation = waitingReservation(`${count}`, {
+      cost,
+      ...times,
+      ...fields,
+    });
+    queue.offer(reservation, arrived);
+    return reservation.id;
   };
-  const keepWaiting = (cost: Cost, fields = {}) => {
+  const fillQueue = (cost: Cost, fields = {}) => {
     while (queue.size < 20) {
       offer(cost, fields);
     }
   };
-  return { queue, limit, engine, offer, keepWaiting };
+  return { queue, limit, engine, offer, fillQueue };
 }
 
-/** Mean time between tokens over some seconds. */
+/** Runs the engine for `seconds` and returns the mean step time in ms. */
 function meanStep(
   engine: SimulatedEngine,
   seconds: number,
@@ -44,40 +48,44 @@
   return (engine.now - start) / (engine.steps - steps);
 }
 
-t.test("the limit keeps the time between tokens on each speed", (t) => {
-  const found = [1, 2.5].map((speed) => {
-    const { limit, engine, keepWaiting } = engineOf(speed);
-    engine.run(15_000, () => keepWaiting(REPLY));
-    const mean = meanStep(engine, 10, () => keepWaiting(REPLY));
+t.test("the limit meets the goal between tokens at each engine speed", (t) => {
+  const sequences = [1, 2.5].map((speed) => {
+    const { limit, engine, fillQueue } = engineOf(speed);
+    engine.run(15_000, () => fillQueue(REPLY));
+    const mean = meanStep(engine, 10, () => fillQueue(REPLY));
     t.ok(mean < GOAL * 1.1, `${mean} ms between tokens at speed ${speed}`);
-    t.ok(mean > GOAL * 0.5 || limit.running > 60, "the engine is used");
+    t.ok(
+      mean > GOAL * 0.5 || limit.running > 60,
+      "the engine is not underused",
+    );
     return limit.running;
   });
-  t.ok((found[1] ?? 0) > 1.5 * (found[0] ?? 0), "a faster engine runs more");
+  t.ok(
+    (sequences[1] ?? 0) > 1.5 * (sequences[0] ?? 0),
+    "a faster engine runs more sequences",
+  );
   t.end();
 });
 
-// An engine loses four fifths of its speed. Callers would see their streams
-// crawl for as long as it lasts: the batch that was right is five times too slow.
-t.test("a slow engine is given less within seconds, and recovers", (t) => {
-  const { limit, engine, keepWaiting } = engineOf(2.5);
-  const arrive = () => keepWaiting(REPLY);
+// Guards against streams that stay slow after an engine lost 4/5 of its speed.
+t.test("the limit of a slow engine falls within seconds and recovers", (t) => {
+  const { limit, engine, fillQueue } = engineOf(2.5);
+  const arrive = () => fillQueue(REPLY);
   engine.run(20_000, arrive);
   const before = limit.limit;
   engine.speed = 0.5;
   engine.run(23_000, arrive);
-  t.ok(limit.limit < before / 1.5, `${before} became ${limit.limit}`);
+  t.ok(limit.limit < before / 1.5, `from ${before} to ${limit.limit}`);
   engine.run(32_000, arrive);
-  t.ok(limit.limit < before / 4, `${before} became ${limit.limit}`);
+  t.ok(limit.limit < before / 4, `from ${before} to ${limit.limit}`);
   engine.speed = 2.5;
   engine.run(42_000, arrive);
-  t.ok(limit.limit > before / 2, `${before} became ${limit.limit} again`);
+  t.ok(limit.limit > before / 2, `from ${before} back to ${limit.limit}`);
   t.end();
 });
 
-// An engine stops sending altogether. No token comes, so nothing is measured,
-// and a limit that waits for a measurement would send it ever more.
-t.test("a stalled engine is given nothing more", (t) => {
+// Guards against a limit that keeps admitting because no token is measured.
+t.test("a stalled engine admits nothing more", (t) => {
   const limit = new TokenLimit();
   for (let index = 0; index < 3; index += 1) {
     limit.started(String(index), REPLY, 0);
@@ -89,37 +97,35 @@
   t.end();
 });
 
-t.test("single stalls do not move the limit much", (t) => {
-  const { limit, engine, keepWaiting } = engineOf(1);
-  engine.run(20_000, () => keepWaiting(REPLY));
+t.test("single slow steps do not halve the limit", (t) => {
+  const { limit, engine, fillQueue } = engineOf(1);
+  engine.run(20_000, () => fillQueue(REPLY));
   const before = limit.limit;
   engine.noise = () => engine.steps % 200 === 0 ? 10 : 1;
-  let least = Infinity;
+  let lowest = Infinity;
   engine.run(40_000, () => {
-    keepWaiting(REPLY);
-    least = Math.min(least, limit.limit);
+    fillQueue(REPLY);
+    lowest = Math.min(lowest, limit.limit);
   });
-  t.ok(least > before / 2, `${before} fell to ${least}`);
+  t.ok(lowest > before / 2, `from ${before} down to ${lowest}`);
   t.end();
 });
 
-// An older engine needs more than 38 ms even for one stream. Held to the goal
-// it would run one request at a time for nothing.
-t.test("an engine that cannot keep the goal is still used", (t) => {
-  const { limit, engine, keepWaiting } = engineOf(0.25);
-  engine.run(30_000, () => keepWaiting(REPLY));
-  t.ok(limit.running > 8, `${limit.running} run`);
+// Guards against one request at a time on an engine that misses 38 ms unloaded.
+t.test("an engine that cannot meet the goal is still used", (t) => {
+  const { limit, engine, fillQueue } = engineOf(0.25);
+  engine.run(30_000, () => fillQueue(REPLY));
+  t.ok(limit.running > 8, `${limit.running} running`);
   t.end();
 });
 
-// The engine itself runs 16 at once and takes any number. What it holds beyond
-// them waits where no tier is known, so a plan reply stands behind review tags.
+// Guards against urgent requests waiting in an engine that runs 16 at once.
 t.test("hardly anything waits inside the engine", (t) => {
-  const { engine, offer, keepWaiting } = engineOf(2.5, { sequences: 16 });
-  engine.run(10_000, () => keepWaiting(REPLY, { tierRank: 2 }));
+  const { engine, offer, fillQueue } = engineOf(2.5, { sequences: 16 });
+  engine.run(10_000, () => fillQueue(REPLY, { tierRank: 2 }));
   const urgent: string[] = [];
   engine.run(20_000, () => {
-    keepWaiting(REPLY, { tierRank: 2 });
+    fillQueue(REPLY, { tierRank: 2 });
     if (engine.steps % 50 === 0) {
       urgent.push(offer(REPLY));
     }
@@ -132,13 +138,12 @@
   t.end();
 });
 
-// The engine's memory holds nine quotes and it takes any number. The tenth waits
-// inside it until one has finished, a minute or so, with all short work behind it.
-t.test("quotes are kept out of a full memory", (t) => {
-  const { engine, limit, offer, keepWaiting } = engineOf(1, { tokens: 64_000 });
+// Guards against a tenth quote waiting in an engine with memory for nine.
+t.test("quotes are not admitted to an engine whose memory is full", (t) => {
+  const { engine, limit, offer, fillQueue } = engineOf(1, { tokens: 64_000 });
   const short: string[] = [];
   engine.run(300_000, () => {
-    keepWaiting(QUOTE);
+    fillQueue(QUOTE);
     if (engine.steps % 100 === 0) {
       short.push(offer(IDENTIFICATION));
     }
@@ -151,13 +156,12 @@
   t.end();
 });
 
-// Quotes wait without end, and a polisher asks for an identification. It would
-// come after some minutes of quotes: each holds its place a hundred times longer.
-t.test("quotes leave places for identifications", (t) => {
-  const { engine, offer, keepWaiting } = engineOf(1);
+// Guards against quotes, 100 times as long, that occupy all slots for minutes.
+t.test("quotes leave slots for identifications", (t) => {
+  const { engine, offer, fillQueue } = engineOf(1);
   const short: string[] = [];
   engine.run(120_000, () => {
-    keepWaiting(QUOTE);
+    fillQueue(QUOTE);
     if (engine.steps % 40 === 0) {
       short.push(offer(IDENTIFICATION));
     }
@@ -169,38 +173,37 @@
   t.end();
 });
 
-// Identifications come without end, and one quote among them. Its owner would
-// never hear: the room that comes free is always too small for it.
-t.test("identifications leave room for a quote", (t) => {
-  const { engine, offer, keepWaiting } = engineOf(1);
-  engine.run(10_000, () => keepWaiting(IDENTIFICATION));
+// Guards against free capacity that is always too small for the quote.
+t.test("identifications leave capacity for a quote", (t) => {
+  const { engine, offer, fillQueue } = engineOf(1);
+  engine.run(10_000, () => fillQueue(IDENTIFICATION));
   const quote = offer(QUOTE);
-  engine.run(12_000, () => keepWaiting(IDENTIFICATION));
+  engine.run(12_000, () => fillQueue(IDENTIFICATION));
   t.ok(engine.answers.has(quote) || engine.isRunning(quote));
   t.end();
 });
 
-t.test("a large quote is not passed over by smaller ones for ever", (t) => {
-  const { engine, offer, keepWaiting } = engineOf(1);
-  engine.run(60_000, () => keepWaiting(tokenCost(4000, 900)));
+t.test("smaller quotes do not starve a large one", (t) => {
+  const { engine, offer, fillQueue } = engineOf(1);
+  engine.run(60_000, () => fillQueue(tokenCost(4000, 900)));
   const large = offer(tokenCost(60_000, 2000));
-  engine.run(180_000, () => keepWaiting(tokenCost(4000, 900)));
+  engine.run(180_000, () => fillQueue(tokenCost(4000, 900)));
   t.ok(engine.answers.has(large) || engine.isRunning(large));
   t.end();
 });
 
-t.test("a suspect runs alone, also on an engine that is never idle", (t) => {
-  const { engine, offer, keepWaiting, limit } = engineOf(1);
-  engine.run(10_000, () => keepWaiting(REPLY));
+t.test("a suspect runs alone, even on an engine that is never idle", (t) => {
+  const { engine, offer, fillQueue, limit } = engineOf(1);
+  engine.run(10_000, () => fillQueue(REPLY));
   const suspect = offer(REPLY, { suspect: true });
-  let beside = 0;
+  let maxRunning = 0;
   engine.run(40_000, () => {
-    keepWaiting(REPLY);
-    beside = engine.isRunning(suspect)
-      ? Math.max(beside, limit.running)
-      : beside;
+    fillQueue(REPLY);
+    maxRunning = engine.isRunning(suspect)
+      ? Math.max(maxRunning, limit.running)
+      : maxRunning;
   });
   t.ok(engine.answers.get(suspect)?.finished);
-  t.equal(beside, 1);
+  t.equal(maxRunning, 1);
   t.end();
 });
