--- a/packages/decisions/src/placement/backend_server.ts
+++ b/packages/decisions/src/placement/backend_server.ts
@@ -1,13 +1,16 @@
-/** One backend server as an entry sees it. @module */
+/** A backend server as known to one entry. @module */
 import type { Distance } from "./distance.ts";
 
-/** First-hand load, as a sidecar's `load` message states it. */
+/** Load of a backend server as reported in its sidecar's `load` message. */
 export type ObservedLoad = {
   running: number;
   waiting: number;
-  /** Requests the server can run at once. */
+  /** Number of requests the server can run at once. */
   limit: number;
-  /** Lowest tier that would be queued now; absent while there is room. */
+  /**
+   * Rank of the lowest tier that would still be queued; absent while the queue
+   * is not full.
+   */
   lowestTierRank?: number | undefined;
   /** Milliseconds that a new reservation of the lowest tier would wait. */
   expectedWait: number;
@@ -15,59 +18,68 @@
 };
 
 /**
- * Milliseconds after which a load report says nothing. Reports ride on replies:
- * a busy link renews them many times a second, and an engine's queue turns over
- * within about a second, so an older one describes a queue that is gone.
+ * Milliseconds after which a load report is ignored. Reports come with replies,
+ * so a busy link renews them many times a second. An engine's queue turns over
+ * within about a second, so an older report describes a queue that no longer
+ * exists.
  */
-export const LOAD_FRESHNESS = 1000;
+export const LOAD_REPORT_TIMEOUT = 1000;
 
-/** Load ratio assumed of a server that has said nothing lately. */
-export const UNKNOWN_LOAD = 0.5;
+/** Load ratio assumed for a server without a recent report. */
+export const UNKNOWN_LOAD_RATIO = 0.5;
 
-/** Added for a server that would refuse the tier: it is asked last. */
+/**
+ * Added to the load ratio of a server that would refuse the tier, so that it is
+ * chosen last.
+ */
 const SHEDDING_PENALTY = 10;
 
-/** Identity, distance and last report of a backend server. */
+/** Identity, distance and last load report of a backend server. */
 export class BackendServer {
   readonly name: string;
   readonly version: string | undefined;
   readonly distance: Distance;
-  /** Rank in the asking entry's subset; a larger one is kept first. */
-  readonly affinity: number;
+  /**
+   * Rendezvous hash of the entry and this server; the entry links to the
+   * servers with the largest values.
+   */
+  readonly rendezvousHash: number;
   load: ObservedLoad | undefined;
-  loadAt = -Infinity;
+  loadReportedAt = -Infinity;
 
   constructor(
     options: {
       name: string;
       version: string | undefined;
       distance: Distance;
-      affinity: number;
+      rendezvousHash: number;
     },
   ) {
     this.name = options.name;
     this.version = options.version;
     this.distance = options.distance;
-    this.affinity = options.affinity;
+    this.rendezvousHash = options.rendezvousHash;
   }
 
-  /** True when a fresh report says that the tier would be refused. */
+  /** Whether a recent report says that the tier would be refused. */
   sheds(tierRank: number, now: number): boolean {
     const lowest = this.load?.lowestTierRank;
     return lowest !== undefined && tierRank > lowest &&
-      now - this.loadAt < LOAD_FRESHNESS;
+      now - this.loadReportedAt < LOAD_REPORT_TIMEOUT;
   }
 
   /**
-   * Requests per place, 1 when full. A report loses its say as it ages: acting
-   * on an old one sends every entry to the server that was idle a second ago.
+   * Running and waiting requests relative to the server's limit; 1 when full. A
+   * report loses weight as it ages: if old reports counted in full, every entry
+   * would choose the server that was idle a second ago.
    */
-  pressure(tierRank: number, now: number): number {
-    const freshness = 1 - (now - this.loadAt) / LOAD_FRESHNESS;
-    if (this.load === undefined || freshness <= 0) return UNKNOWN_LOAD;
+  loadRatio(tierRank: number, now: number): number {
+    const freshness = 1 - (now - this.loadReportedAt) / LOAD_REPORT_TIMEOUT;
+    if (this.load === undefined || freshness <= 0) return UNKNOWN_LOAD_RATIO;
     const { running, waiting, limit } = this.load;
     const reported = (running + waiting) / Math.max(limit, 1);
     const shedding = this.sheds(tierRank, now) ? SHEDDING_PENALTY : 0;
-    return UNKNOWN_LOAD + (reported + shedding - UNKNOWN_LOAD) * freshness;
+    return UNKNOWN_LOAD_RATIO +
+      (reported + shedding - UNKNOWN_LOAD_RATIO) * freshness;
   }
 }
--- a/packages/decisions/src/placement/backend_server_set.ts
+++ b/packages/decisions/src/placement/backend_server_set.ts
@@ -1,18 +1,20 @@
 /**
- * Which sidecars an entry asks for a place: one set per service.
+ * Chooses the sidecars that an entry sends reservations to. There is one set
+ * per service.
  *
- * Answers unlike engines, stale load reports, hot prefixes and a fleet too
- * large for a full mesh. A choice is only an offer, since the first grant
- * decides (late binding); it needs to be good on average and cheap. Without
- * the random draw every entry would ask the server that looked idle a second
- * ago; without the load's say a hot prefix would queue at one server while
- * others idle; without the distances requests would cross regions for nothing.
+ * Load pattern: engines of different speed, stale load reports, hot prefixes,
+ * and a fleet too large for a full mesh. The first grant decides where a
+ * request runs (late binding), so a choice has to be cheap, and good only on
+ * average. Without random candidates, every entry would choose the server that
+ * looked idle a second ago; without load reports, requests with a hot prefix
+ * would queue at one server while others are idle; without distances, requests
+ * would cross regions needlessly.
  *
- * Figures: 16 links per service in the own data centre, 8 to the region's
- * others and 4 to other regions, so 5 services keep about 140 links, whose
- * heartbeats fit 3 KB/s; a service of up to 16 sidecars is linked whole at each
- * distance. Twice as many candidates are drawn as are asked: the better of two
- * takes most of the gain of knowing all of them.
+ * An entry keeps 16 links per service in its own data centre, 8 to the rest of
+ * the region and 4 to other regions. For 5 services these are about 140 links,
+ * whose heartbeats fit into 3 KB/s. At each distance, a service with no more
+ * sidecars than that is fully linked. Twice as many candidates are drawn as are
+ * chosen: the better of two gives most of the benefit of comparing all of them.
  * @module
  */
 import { BackendServer } from "./backend_server.ts";
@@ -21,64 +23,77 @@
 import type { RegionOf } from "./distance.ts";
 import { hashText } from "./hash_text.ts";
 import type { HashText } from "./hash_text.ts";
-import type { ChoiceOptions, SheddingVerdict } from "./choice.ts";
+import type { ChoiceOptions, SheddingDecision } from "./choice.ts";
 import { ServerGroup } from "./server_group.ts";
 
-/** Up to this many sidecars of a service, an entry keeps links to all. */
+/**
+ * Up to this number of sidecars of a service, an entry keeps links to all of
+ * them.
+ */
 export const FULL_MESH_LIMIT = 16;
 
 const SUBSET_SIZES = [16, 8, 4] as const;
 
-/** Candidates drawn for each one asked. */
-const DRAWS_PER_CHOICE = 2;
+/** Candidates drawn for each server chosen. */
+const CANDIDATES_PER_CHOICE = 2;
 
-/** Pressure added for each step of distance, as if that much fuller. */
+/** Load ratio added for each step of distance. */
 const DISTANCE_PENALTY = 0.25;
 
 /**
- * Pressure from which a prefix moves on to the next server of its ring. A
- * server at its limit with a quarter as many waiting makes the prefix wait
- * longer than a prefill elsewhere takes.
+ * Load ratio from which a prefix spills over to the next server on the hash
+ * ring. At a server that is full and has a quarter as many requests waiting, a
+ * request waits longer than a prefill elsewhere takes.
  */
-const SPILL_PRESSURE = 1.25;
+const SPILL_LOAD_RATIO = 1.25;
 
 /**
- * Where all servers are full, a prefix stays until its server is this many
- * times as full as the mean. An absolute bound alone would give prefixes up
- * just when prefill is dearest: at twice the capacity 40 % of it was repeated.
+ * When all servers are full, a prefix spills over only from a server with this
+ * many times the mean load ratio. With an absolute threshold alone, prefixes
+ * would leave their servers just when prefill is most expensive: at a load of
+ * twice the capacity, 40 % of it would be repeated.
  */
-const SPILL_TIMES_MEAN = 2;
+const SPILL_MEAN_FACTOR = 2;
 
-/** Milliseconds after which a server that called itself unhealthy is asked again. */
-const UNHEALTHY_LAPSE = 5000;
+/**
+ * Milliseconds without a report after which a server that reported itself
+ * unhealthy is offered again.
+ */
+const UNHEALTHY_TIMEOUT = 5000;
 
-/** Least and largest advice, milliseconds, on when to come back. */
-const RETRY_AFTER_BOUNDS = { least: 1000, largest: 60_000 } as const;
+/** Minimum and maximum of `retryAfter`, in milliseconds. */
+const RETRY_AFTER_BOUNDS = { min: 1000, max: 60_000 } as const;
 
-export type { ChoiceOptions, SheddingVerdict } from "./choice.ts";
+export type { ChoiceOptions, SheddingDecision } from "./choice.ts";
 
-/** One service's backend servers, seen from one entry. */
+/** The backend servers of one service as known to one entry. */
 export class BackendServerSet {
   readonly #entry: string;
   readonly #dataCentre: string;
   readonly #regionOf: RegionOf;
   readonly #hash: HashText;
   readonly #allowed: (name: string, now: number) => boolean;
-  readonly #known = new Map<string, BackendServer>();
-  /** Names in the groups: neither leaving nor known to be unhealthy. */
+  readonly #servers = new Map<string, BackendServer>();
+  /**
+   * Names of the servers that may be chosen: neither leaving nor reported
+   * unhealthy.
+   */
   readonly #eligible = new Set<string>();
   readonly #leaving = new Set<string>();
   readonly #groups = new Map<string | undefined, ServerGroup>();
 
   constructor(
     options: {
-      /** Own instance name: entries of unlike names keep unlike subsets. */
+      /**
+       * Instance name of the entry; entries with different names keep different
+       * subsets.
+       */
       entry: string;
       dataCentre: string;
-      /** All data centres are one region when absent. */
+      /** Maps data centres to regions; all are in one region if absent. */
       regionOf?: RegionOf | undefined;
       hash?: HashText | undefined;
-      /** Ejection's say. */
+      /** Whether a server may be chosen; `false` while it is ejected. */
       allowed?: ((name: string, now: number) => boolean) | undefined;
     },
   ) {
@@ -90,17 +105,20 @@
   }
 
   /**
-   * Adds a listed server; a name that is already known keeps its state, but a
-   * server that was unhealthy is offered again once it has said nothing for a
-   * while: its link may have closed before it could say that it recovered.
+   * Adds a server from the instance list. A known server keeps its state, but
+   * one that reported itself unhealthy is offered again if it has sent no
+   * report for a while, because its link may have closed before it could report
+   * that it recovered.
    */
   add(
     server: { name: string; dataCentre: string; version?: string | undefined },
     now: number,
   ): void {
-    const known = this.#known.get(server.name);
+    const known = this.#servers.get(server.name);
     if (known !== undefined) {
-      if (now - known.loadAt >= UNHEALTHY_LAPSE) this.#include(known);
+      if (now - known.loadReportedAt >= UNHEALTHY_TIMEOUT) {
+        this.#makeEligible(known);
+      }
       return;
     }
     const added = new BackendServer({
@@ -111,82 +129,89 @@
         server.dataCentre,
         this.#regionOf,
       ),
-      affinity: this.#hash(`${this.#entry}\0${server.name}`),
+      rendezvousHash: this.#hash(`${this.#entry}\0${server.name}`),
     });
-    this.#known.set(added.name, added);
-    this.#include(added);
+    this.#servers.set(added.name, added);
+    this.#makeEligible(added);
   }
 
-  /** Forgets the server; the name may be added again by a new instance. */
+  /** Removes the server; its name may be added again by a new instance. */
   remove(name: string): void {
-    const server = this.#known.get(name);
+    const server = this.#servers.get(name);
     if (server === undefined) return;
-    this.#leave(server);
-    this.#known.delete(name);
+    this.#makeIneligible(server);
+    this.#servers.delete(name);
     this.#leaving.delete(name);
   }
 
   /**
-   * Takes a server out of every later choice. Stays in force until `remove`:
-   * the instance list lags and would offer the server again for seconds.
+   * Excludes a leaving server from all later choices until it is removed. The
+   * instance list lags and would offer the server again for seconds.
    */
   markLeaving(name: string): void {
     this.#leaving.add(name);
-    const server = this.#known.get(name);
-    if (server !== undefined) this.#leave(server);
+    const server = this.#servers.get(name);
+    if (server !== undefined) this.#makeIneligible(server);
   }
 
-  /** Takes in what the server's own sidecar just said. */
+  /** Stores a load report from the server's own sidecar. */
   observeLoad(name: string, load: ObservedLoad, now: number): void {
-    const server = this.#known.get(name);
+    const server = this.#servers.get(name);
     if (server === undefined) return;
     server.load = load;
-    server.loadAt = now;
-    if (load.healthy) this.#include(server);
-    else this.#leave(server);
+    server.loadReportedAt = now;
+    if (load.healthy) this.#makeEligible(server);
+    else this.#makeIneligible(server);
   }
 
-  /** Servers known and not leaving or unhealthy. */
+  /** Number of servers that may be chosen. */
   get count(): number {
     return this.#eligible.size;
   }
 
-  /** Names to keep links to; links to others are opened on demand. */
+  /**
+   * Names of the servers to keep links to; links to other servers are opened on
+   * demand.
+   */
   namesToLink(): Set<string> {
     const names = new Set<string>();
     for (const group of this.#groups.values()) {
       for (const subset of group.subsets) {
-        for (const server of subset.kept) names.add(server.name);
+        for (const server of subset.linked) names.add(server.name);
       }
     }
     return names;
   }
 
-  /** Distinct names of sidecars to reserve with, at most `count`. */
+  /**
+   * Returns the distinct names of at most `count` sidecars to send reservations
+   * to.
+   */
   choose(options: ChoiceOptions): string[] {
     const group = this.#groups.get(options.version);
     if (group === undefined || options.count <= 0) return [];
-    const chosen = this.#preferred(group, options);
-    if (chosen.length < options.count) this.#fill(group, options, chosen);
+    const chosen = this.#chooseByPrefix(group, options);
+    if (chosen.length < options.count) this.#addByLoad(group, options, chosen);
     return chosen.map((server) => server.name);
   }
 
   /**
-   * Refuses a tier early only when every linked server of the nearest region
-   * that has any said, first-hand and fresh, that it would refuse it. A server
-   * that is silent may have room; refusing on a guess could shed a tier that a
-   * lower one outlasts.
+   * Decides whether a tier is shed before any reservation is sent. This is the
+   * case only if all linked servers in the entry's region, or in other regions
+   * if the region has none, have recently reported that they would refuse the
+   * tier. A server without a recent report may have capacity; shedding on a
+   * guess could refuse a tier while a lower one is still served.
    */
   shedsTier(
     tierRank: number,
     now: number,
     version?: string,
-  ): SheddingVerdict {
+  ): SheddingDecision {
     const group = this.#groups.get(version);
     if (group === undefined) return { sheds: false };
     const [own, region, other] = group.subsets;
-    const near = [...own.kept, ...region.kept];
-    const candidates = near.length > 0 ? near : other.kept;
+    const near = [...own.linked, ...region.linked];
+    const candidates = near.length > 0 ? near : other.linked;
     let soonest = Infinity;
     for (const server of candidates) {
       if (!this.#allowed(server.name, now)) continue;
@@ -194,34 +219,40 @@
       soonest = Math.min(soonest, server.load?.expectedWait ?? Infinity);
     }
     if (soonest === Infinity) return { sheds: false };
-    const { least, largest } = RETRY_AFTER_BOUNDS;
+    const { min, max } = RETRY_AFTER_BOUNDS;
     return {
       sheds: true,
-      retryAfter: Math.min(Math.max(soonest, least), largest),
+      retryAfter: Math.min(Math.max(soonest, min), max),
     };
   }
 
   /**
-   * The servers that follow the prefix on its ring and are not too full, so
-   * that all of its reservations, and not the first alone, keep to few caches.
+   * Returns the servers that follow the prefix on the hash ring and are not too
+   * full. All reservations of a request use them, not only the first, so that a
+   * prefix is kept in few caches.
    */
-  #preferred(group: ServerGroup, options: ChoiceOptions): BackendServer[] {
+  #chooseByPrefix(group: ServerGroup, options: ChoiceOptions): BackendServer[] {
     const chosen: BackendServer[] = [];
     if (options.prefixKey === undefined) return chosen;
     const { tierRank, now, exclude } = options;
-    const spill = spillPressure(group, tierRank, now);
+    const spillRatio = spillLoadRatio(group, tierRank, now);
     group.ring.walk(options.prefixKey, (server) => {
-      if (chosen.includes(server) || exclude.has(server.name)) return "go on";
-      if (!this.#allowed(server.name, now)) return "go on";
-      if (server.pressure(tierRank, now) >= spill) return "go on";
+      if (chosen.includes(server) || exclude.has(server.name)) {
+        return "continue";
+      }
+      if (!this.#allowed(server.name, now)) return "continue";
+      if (server.loadRatio(tierRank, now) >= spillRatio) return "continue";
       chosen.push(server);
-      return chosen.length >= options.count ? "stop" : "go on";
+      return chosen.length >= options.count ? "stop" : "continue";
     });
     return chosen;
   }
 
-  /** Adds the better of the servers drawn, from the nearest distance outwards. */
-  #fill(
+  /**
+   * Adds the least loaded of the servers drawn, starting with the nearest
+   * distance.
+   */
+  #addByLoad(
     group: ServerGroup,
     options: ChoiceOptions,
     chosen: BackendServer[],
@@ -232,25 +263,25 @@
       !options.exclude.has(server.name) && !chosen.includes(server) &&
       this.#allowed(server.name, now);
     const cost = (server: BackendServer) =>
-      server.pressure(tierRank, now) + server.distance * DISTANCE_PENALTY;
+      server.loadRatio(tierRank, now) + server.distance * DISTANCE_PENALTY;
     const reach = REACHES.indexOf(options.reach ?? "region");
     const found: BackendServer[] = [];
-    let withRoom = 0;
+    let withFreeSlots = 0;
     for (const [distance, subset] of group.subsets.entries()) {
       if (distance > reach && found.length + chosen.length > 0) break;
       const before = found.length;
-      const wanted = missing * DRAWS_PER_CHOICE;
+      const wanted = missing * CANDIDATES_PER_CHOICE;
       subset.draw({ wanted, accept, random, found });
       for (const server of found.slice(before)) {
-        if (server.pressure(tierRank, now) < 1) withRoom++;
+        if (server.loadRatio(tierRank, now) < 1) withFreeSlots++;
       }
-      if (withRoom >= missing) break;
+      if (withFreeSlots >= missing) break;
     }
     found.sort((left, right) => cost(left) - cost(right));
     chosen.push(...found.slice(0, missing));
   }
 
-  #include(server: BackendServer): void {
+  #makeEligible(server: BackendServer): void {
     if (this.#leaving.has(server.name)) return;
     if (this.#eligible.has(server.name)) return;
     this.#eligible.add(server.name);
@@ -264,7 +295,7 @@
     }
   }
 
-  #leave(server: BackendServer): void {
+  #makeIneligible(server: BackendServer): void {
     if (!this.#eligible.delete(server.name)) return;
     for (const key of groupKeys(server)) {
       const group = this.#groups.get(key);
@@ -274,24 +305,30 @@
   }
 }
 
-/** Looks at the kept servers only, whose number does not grow with the fleet. */
-function spillPressure(
+/**
+ * Averages over the linked servers only, whose number does not grow with the
+ * fleet.
+ */
+function spillLoadRatio(
   group: ServerGroup,
   tierRank: number,
   now: number,
 ): number {
   let sum = 0;
   let count = 0;
-  for (const { kept } of group.subsets.slice(0, 2)) {
-    for (const server of kept) sum += server.pressure(tierRank, now);
-    count += kept.length;
+  for (const { linked } of group.subsets.slice(0, 2)) {
+    for (const server of linked) sum += server.loadRatio(tierRank, now);
+    count += linked.length;
   }
   return count === 0
-    ? SPILL_PRESSURE
-    : Math.max(SPILL_PRESSURE, SPILL_TIMES_MEAN * sum / count);
+    ? SPILL_LOAD_RATIO
+    : Math.max(SPILL_LOAD_RATIO, SPILL_MEAN_FACTOR * sum / count);
 }
 
-/** The group of all servers and, where it has one, that of its version. */
+/**
+ * Keys of the group of all servers and of the group of the server's version, if
+ * it has one.
+ */
 function groupKeys(server: BackendServer): (string | undefined)[] {
   return server.version === undefined
     ? [undefined]
--- a/packages/decisions/src/placement/bounded_subset.ts
+++ b/packages/decisions/src/placement/bounded_subset.ts
@@ -1,60 +1,66 @@
 /**
- * The bounded, stable part of a fleet that one entry keeps links to. Without
- * it 330 entries and 600 sidecars hold 198,000 links, whose heartbeats alone
- * exceed what a node may spend on control. Members are ranked by a hash of
- * entry and server, so entries pick unlike subsets, every server is in about
- * as many of them, and one server's coming or going changes one place.
+ * The bounded, stable subset of a fleet that one entry keeps links to.
+ *
+ * If all were linked, 330 entries and 600 sidecars would have 198,000 links,
+ * whose heartbeats alone exceed a node's budget for control traffic. The subset
+ * is chosen by rendezvous hashing of entry and server: entries choose different
+ * subsets, every server is in about as many of them, and adding or removing a
+ * server changes one member of a subset.
  * @module
  */
 import type { BackendServer } from "./backend_server.ts";
 
-/** Draws beyond the subset stop after this many refused candidates. */
-const REST_DRAWS = 32;
+/** Maximum number of servers outside the subset that are tried in one draw. */
+const MAX_REST_DRAWS = 32;
 
-/** Keeps the `size` members of highest affinity apart from the rest. */
+/**
+ * Separates the `size` servers with the largest rendezvous hashes from the
+ * others.
+ */
 export class BoundedSubset {
   readonly #size: number;
-  readonly #kept: BackendServer[] = [];
-  /** Highest affinity first. */
+  readonly #linked: BackendServer[] = [];
+  /** Largest rendezvous hash first. */
   readonly #rest: BackendServer[] = [];
 
   constructor(size: number) {
     this.#size = size;
   }
 
-  /** Members to keep links to, in no order. */
-  get kept(): readonly BackendServer[] {
-    return this.#kept;
+  /** The servers to keep links to, in no particular order. */
+  get linked(): readonly BackendServer[] {
+    return this.#linked;
   }
 
   get count(): number {
-    return this.#kept.length + this.#rest.length;
+    return this.#linked.length + this.#rest.length;
   }
 
   add(server: BackendServer): void {
-    this.#kept.push(server);
-    if (this.#kept.length <= this.#size) return;
+    this.#linked.push(server);
+    if (this.#linked.length <= this.#size) return;
     const lowest = this.#indexOfLowest();
-    const displaced = this.#kept[lowest]!;
-    this.#removeKept(lowest);
+    const displaced = this.#linked[lowest]!;
+    this.#removeLinked(lowest);
     this.#rest.splice(this.#restIndex(displaced), 0, displaced);
   }
 
   delete(server: BackendServer): void {
-    const index = this.#kept.indexOf(server);
+    const index = this.#linked.indexOf(server);
     if (index < 0) {
       const position = this.#restIndex(server);
       if (this.#rest[position] === server) this.#rest.splice(position, 1);
       return;
     }
-    this.#removeKept(index);
+    this.#removeLinked(index);
     const promoted = this.#rest.shift();
-    if (promoted !== undefined) this.#kept.push(promoted);
+    if (promoted !== undefined) this.#linked.push(promoted);
   }
 
   /**
-   * Appends up to `wanted` distinct accepted members to `found`, drawn evenly
-   * from the subset and, when that is used up, from the rest.
+   * Appends up to `wanted` distinct accepted servers to `found`, drawn
+   * uniformly from the subset and, once it is exhausted, from the other
+   * servers.
    */
   draw(
     options: {
@@ -66,16 +72,16 @@
   ): void {
     const { wanted, accept, random, found } = options;
     const goal = found.length + wanted;
-    const kept = this.#kept;
-    for (let next = 0; next < kept.length && found.length < goal; next++) {
-      const drawn = next + Math.floor(random() * (kept.length - next));
-      const server = kept[drawn]!;
-      kept[drawn] = kept[next]!;
-      kept[next] = server;
+    const linked = this.#linked;
+    for (let next = 0; next < linked.length && found.length < goal; next++) {
+      const drawn = next + Math.floor(random() * (linked.length - next));
+      const server = linked[drawn]!;
+      linked[drawn] = linked[next]!;
+      linked[next] = server;
       if (accept(server)) found.push(server);
     }
     const rest = this.#rest;
-    const draws = Math.min(rest.length, REST_DRAWS);
+    const draws = Math.min(rest.length, MAX_REST_DRAWS);
     if (draws === 0 || found.length >= goal) return;
     const start = Math.floor(random() * rest.length);
     for (let next = 0; next < draws && found.length < goal; next++) {
@@ -84,20 +90,25 @@
     }
   }
 
-  #removeKept(index: number): void {
-    const last = this.#kept.pop()!;
-    if (index < this.#kept.length) this.#kept[index] = last;
+  #removeLinked(index: number): void {
+    const last = this.#linked.pop()!;
+    if (index < this.#linked.length) this.#linked[index] = last;
   }
 
   #indexOfLowest(): number {
     let lowest = 0;
-    for (let index = 1; index < this.#kept.length; index++) {
-      if (ranksBefore(this.#kept[lowest]!, this.#kept[index]!)) lowest = index;
+    for (let index = 1; index < this.#linked.length; index++) {
+      if (ranksBefore(this.#linked[lowest]!, this.#linked[index]!)) {
+        lowest = index;
+      }
     }
     return lowest;
   }
 
-  /** Index at which the member stands, or would stand, in the rest. */
+  /**
+   * Returns the server's index among the other servers, or the index to insert
+   * it at.
+   */
   #restIndex(server: BackendServer): number {
     let low = 0;
     let high = this.#rest.length;
@@ -111,6 +122,8 @@
 }
 
 function ranksBefore(left: BackendServer, right: BackendServer): boolean {
-  if (left.affinity !== right.affinity) return left.affinity > right.affinity;
+  if (left.rendezvousHash !== right.rendezvousHash) {
+    return left.rendezvousHash > right.rendezvousHash;
+  }
   return left.name < right.name;
 }
--- a/packages/decisions/src/placement/choice.ts
+++ b/packages/decisions/src/placement/choice.ts
@@ -1,22 +1,25 @@
-/** What a set of backend servers is asked, and what it says of a tier. @module */
+/** Options and results of {@link BackendServerSet}. @module */
 import type { Reach } from "./distance.ts";
 
-/** Whether the tier is refused before anything is reserved. */
-export type SheddingVerdict =
+/**
+ * Whether a tier is shed before any reservation is sent; `retryAfter` is in
+ * milliseconds.
+ */
+export type SheddingDecision =
   | { sheds: false }
   | { sheds: true; retryAfter: number };
 
-/** What {@link BackendServerSet.choose} is asked. */
+/** Options of {@link BackendServerSet.choose}. */
 export type ChoiceOptions = {
   count: number;
   exclude: ReadonlySet<string>;
   prefixKey?: string | undefined;
-  /** Only servers of this version; all when absent. */
+  /** Restricts the choice to servers of this version. */
   version?: string | undefined;
   tierRank: number;
-  /** Farther servers are used only where no nearer one is left. */
+  /** Servers at a greater distance are used only if no nearer one is left. */
   reach?: Reach | undefined;
   now: number;
-  /** Gives a number in [0, 1). */
+  /** Returns a number in [0, 1). */
   random: () => number;
 };
--- a/packages/decisions/src/placement/distance.ts
+++ b/packages/decisions/src/placement/distance.ts
@@ -1,18 +1,24 @@
-/** How far a backend server is from the entry that asks. @module */
+/** Distances between an entry and backend servers. @module */
 
-/** Nearest first: own data centre, own region, any region. */
+/**
+ * The parts of a fleet that a choice may use, smallest first: the own data
+ * centre, the own region, all regions.
+ */
 export const REACHES = ["dataCentre", "region", "everywhere"] as const;
 
-/** The farthest backend servers that a choice may use. */
+/** The part of the fleet that a choice may use. */
 export type Reach = typeof REACHES[number];
 
-/** Index into {@link REACHES} of the nearest reach that holds the server. */
+/**
+ * Index into {@link REACHES} of the smallest part of the fleet that contains
+ * the server.
+ */
 export type Distance = 0 | 1 | 2;
 
-/** Gives the region of a data centre. */
+/** Returns the region of a data centre. */
 export type RegionOf = (dataCentre: string) => string;
 
-/** Distance from one data centre to another. */
+/** Returns the distance between two data centres. */
 export function distanceBetween(
   from: string,
   to: string,
--- a/packages/decisions/src/placement/hash_ring.ts
+++ b/packages/decisions/src/placement/hash_ring.ts
@@ -1,34 +1,41 @@
 /**
- * Finds a prefix key's preferred backend servers without visiting the fleet.
- * All entries find the same ones without talking to each other, so a prefix is
- * kept in few caches; a server's coming or going moves only its own share. The
- * ring is cut into buckets, since inserting into one sorted list costs a
- * millisecond at 600 servers and a restarted entry adds all of them at once.
+ * A consistent hash ring that finds the preferred backend servers of a prefix
+ * key without visiting the whole fleet.
+ *
+ * All entries find the same servers without communicating, so a prefix is kept
+ * in few caches. Adding or removing a server moves only that server's share of
+ * the keys. The points are kept in buckets because inserting into one sorted
+ * list takes a millisecond at 600 servers, and a restarted entry adds all of
+ * them at once.
  * @module
  */
 import type { BackendServer } from "./backend_server.ts";
 import type { HashText } from "./hash_text.ts";
 
 /**
- * Points of each server on the ring. The spread of the shares falls with its
- * square root: 32 points leave about 18 %, which the load's say evens out.
+ * Points of each server on the ring. The relative spread of the servers' shares
+ * falls with the square root of this number: 32 points leave about 18 %, which
+ * load-based spilling evens out.
  */
 const POINTS_PER_SERVER = 32;
 
-/** Power of two; leaves some 20 points in each at 600 servers. */
-const BUCKETS = 1024;
-const BUCKET_SHIFT = 32 - Math.log2(BUCKETS);
+/** A power of two; at 600 servers each bucket holds about 20 points. */
+const BUCKET_COUNT = 1024;
+const BUCKET_SHIFT = 32 - Math.log2(BUCKET_COUNT);
 
-/** Points that one lookup may pass before it gives up. */
-const LONGEST_WALK = 128;
+/** Maximum number of points that one lookup visits. */
+const MAX_VISITED_POINTS = 128;
 
 type Point = { hash: number; owner: BackendServer };
 
 /** A consistent hash ring of backend servers. */
 export class HashRing {
   readonly #hash: HashText;
-  /** By the hash's leading bits; each in the order of the ring. */
-  readonly #buckets: Point[][] = Array.from({ length: BUCKETS }, () => []);
+  /**
+   * Indexed by the leading bits of the hash; the points of a bucket are in ring
+   * order.
+   */
+  readonly #buckets: Point[][] = Array.from({ length: BUCKET_COUNT }, () => []);
 
   constructor(hash: HashText) {
     this.#hash = hash;
@@ -52,16 +59,22 @@
     }
   }
 
-  /** Visits owners clockwise from the key, repeats included, until told to stop. */
-  walk(key: string, visit: (server: BackendServer) => "go on" | "stop"): void {
+  /**
+   * Calls `visit` for the owners of the points clockwise from the key,
+   * including repeats, until it returns `stop`.
+   */
+  walk(
+    key: string,
+    visit: (server: BackendServer) => "continue" | "stop",
+  ): void {
     const start = this.#hash(key);
     const first = start >>> BUCKET_SHIFT;
     let visited = 0;
-    for (let step = 0; step < BUCKETS; step++) {
-      const bucket = this.#buckets[(first + step) % BUCKETS]!;
+    for (let step = 0; step < BUCKET_COUNT; step++) {
+      const bucket = this.#buckets[(first + step) % BUCKET_COUNT]!;
       for (const { hash, owner } of bucket) {
         if (step === 0 && hash < start) continue;
-        if (visit(owner) === "stop" || ++visited >= LONGEST_WALK) return;
+        if (visit(owner) === "stop" || ++visited >= MAX_VISITED_POINTS) return;
       }
     }
     for (const { hash, owner } of this.#buckets[first]!) {
@@ -82,7 +95,10 @@
   }
 }
 
-/** Equal hashes go by name, so that all entries order them alike. */
+/**
+ * Points with equal hashes are ordered by name, so that all entries use the
+ * same order.
+ */
 function comesBefore(left: Point, right: Point): boolean {
   if (left.hash !== right.hash) return left.hash < right.hash;
   return left.owner.name < right.owner.name;
--- a/packages/decisions/src/placement/hash_text.ts
+++ b/packages/decisions/src/placement/hash_text.ts
@@ -1,13 +1,13 @@
 /**
- * The hash that places prefixes and picks each entry's subset. All entries
- * must agree on it, so it is seeded by nothing.
+ * The hash function for prefix placement and for each entry's subset of
+ * servers. It is unseeded because all entries must agree on it.
  * @module
  */
 import createHashes from "xxhash-wasm";
 
 const hashes = await createHashes();
 
-/** Maps a text to an unsigned 32-bit number. */
+/** Maps a string to an unsigned 32-bit integer. */
 export type HashText = (text: string) => number;
 
 /** xxHash32 of the text's UTF-8 bytes. */
--- a/packages/decisions/src/placement/reservation_plan.ts
+++ b/packages/decisions/src/placement/reservation_plan.ts
@@ -1,65 +1,76 @@
 /**
- * How many sidecars a request asks for a place, and when.
+ * Decides how many sidecars a request sends reservations to, and when.
  *
- * Answers both a calm fleet and a full one. One reservation per request is not
- * enough under load (its server may be the slow one); six at once for every
- * request exceed what a node may send. So few are placed at first and more as
- * the request goes without a grant; where there is room, the first grant comes
+ * One reservation per request is not enough under load, since its server may be
+ * the slow one; six at once for every request exceed a node's budget for
+ * control traffic. So a request starts with few reservations and adds more in
+ * waves while it has no grant. If there is free capacity, the first grant comes
  * within a round trip and no second wave is sent.
  *
- * Figures: a round trip within a region is 1-2 ms, so a wave that has brought
- * no grant after 4 ms found its servers full. The total is 6, since more gain
- * nothing (docs/design/placement.md). A request with a prefix starts with the
- * prefix's own server and gives it longer: a full server frees a place about
- * every 100 ms, and 60 ms are 5 % of a first token's goal. In the bench at twice
- * the capacity, waves at 25, 50 and 75 ms left 25 % of the prefill repeated,
- * these 18 %; later ones cost the second tier goodput. Other regions, about 100
- * ms away, are asked once the own region gave nothing for 250 ms, or 500.
+ * A round trip within a region takes 1-2 ms, so if a wave has brought no grant
+ * after 4 ms, its servers are full. The maximum is 6 because more reservations
+ * don't help (docs/design/placement.md).
+ *
+ * A request with a prefix starts with the prefix's own server and waits longer
+ * for it: a full server frees a slot about every 100 ms, and 60 ms are 5 % of
+ * the goal for the first token. At a load of twice the capacity, 18 % of the
+ * prefill is repeated with these waves and 25 % with waves at 25, 50 and 75 ms;
+ * later waves cost the second tier goodput.
+ *
+ * Other regions are about 100 ms away. They are included once the own region
+ * has brought no grant for 250 ms, or 500 ms for a request with a prefix.
  * @module
  */
 import type { Reach } from "./distance.ts";
 
-/** Reservations that a request holds at most at a time. */
-export const MOST_RESERVATIONS = 6;
+/**
+ * Maximum number of reservations that a request holds at a time within its
+ * region.
+ */
+export const MAX_RESERVATIONS = 6;
 
-/** Reservations placed for one request in all, replacements included. */
-export const MOST_PLACEMENTS = 12;
+/**
+ * Maximum number of reservations sent for one request, including replacements.
+ */
+export const MAX_PLACEMENTS = 12;
 
-/** Milliseconds without a grant before other regions are asked. */
-export const OTHER_REGIONS_AFTER = 250;
+/** Milliseconds without a grant before other regions are included. */
+export const OTHER_REGIONS_DELAY = 250;
 
-/** The same for a request with a prefix, whose own region is asked longer. */
-const PREFIX_OTHER_REGIONS_AFTER = 500;
+/**
+ * The same for a request with a prefix, which stays in its own region longer.
+ */
+const PREFIX_OTHER_REGIONS_DELAY = 500;
 
-type Wave = { after: number; reservations: number; reach: Reach };
+type Wave = { delay: number; reservations: number; reach: Reach };
 
 const WAVES: readonly Wave[] = [
-  { after: 0, reservations: 2, reach: "dataCentre" },
-  { after: 4, reservations: 4, reach: "region" },
-  { after: 12, reservations: MOST_RESERVATIONS, reach: "region" },
+  { delay: 0, reservations: 2, reach: "dataCentre" },
+  { delay: 4, reservations: 4, reach: "region" },
+  { delay: 12, reservations: MAX_RESERVATIONS, reach: "region" },
   {
-    after: OTHER_REGIONS_AFTER,
-    reservations: MOST_RESERVATIONS + 1,
+    delay: OTHER_REGIONS_DELAY,
+    reservations: MAX_RESERVATIONS + 1,
     reach: "everywhere",
   },
 ];
 
 const PREFIX_WAVES: readonly Wave[] = [
-  { after: 0, reservations: 1, reach: "region" },
-  { after: 60, reservations: 2, reach: "region" },
-  { after: 150, reservations: 4, reach: "region" },
-  { after: 300, reservations: MOST_RESERVATIONS, reach: "region" },
+  { delay: 0, reservations: 1, reach: "region" },
+  { delay: 60, reservations: 2, reach: "region" },
+  { delay: 150, reservations: 4, reach: "region" },
+  { delay: 300, reservations: MAX_RESERVATIONS, reach: "region" },
   {
-    after: PREFIX_OTHER_REGIONS_AFTER,
-    reservations: MOST_RESERVATIONS + 1,
+    delay: PREFIX_OTHER_REGIONS_DELAY,
+    reservations: MAX_RESERVATIONS + 1,
     reach: "everywhere",
   },
 ];
 
-/** What to place now. */
+/** The reservations to send now. */
 export type PlannedReservations = { count: number; reach: Reach };
 
-/** One request's reservations over time. */
+/** The reservations of one request over time. */
 export class ReservationPlan {
   readonly #arrived: number;
   readonly #waves: readonly Wave[];
@@ -70,7 +81,7 @@
   constructor(
     options: {
       prefixKey?: string | undefined;
-      /** When the request arrived, milliseconds. */
+      /** When the request arrived, in milliseconds. */
       arrived: number;
     },
   ) {
@@ -78,13 +89,13 @@
     this.#waves = options.prefixKey === undefined ? WAVES : PREFIX_WAVES;
   }
 
-  /** Reservations due by `now`; they count as placed from here on. */
+  /** Returns the reservations that are due by `now` and counts them as sent. */
   next(now: number): PlannedReservations {
     while (this.nextAt !== undefined && this.nextAt <= now) this.#wave++;
     const wave = this.#waves[Math.max(this.#wave, 0)]!;
     const missing = Math.min(
       wave.reservations - this.#held,
-      MOST_PLACEMENTS - this.#placed,
+      MAX_PLACEMENTS - this.#placed,
     );
     const count = Math.max(missing, 0);
     this.#held += count;
@@ -92,27 +103,28 @@
     return { count, reach: wave.reach };
   }
 
-  /** When the next wave is due; undefined after the last one. */
+  /** When the next wave is due; `undefined` after the last one. */
   get nextAt(): number | undefined {
     const wave = this.#waves[this.#wave + 1];
-    return wave === undefined ? undefined : this.#arrived + wave.after;
+    return wave === undefined ? undefined : this.#arrived + wave.delay;
   }
 
   /**
-   * States that reservations were refused, cut or found no server. `next` then
-   * places others, for which the service's retry budget is asked first.
+   * Records that `count` reservations were refused, lost their link or found no
+   * server, so that `next` replaces them. The caller must first get permission
+   * from the service's retry budget.
    */
   markLost(count = 1): void {
     this.#held = Math.max(this.#held - count, 0);
   }
 
-  /** Reservations in place. */
+  /** Number of reservations currently held. */
   get held(): number {
     return this.#held;
   }
 
-  /** True when no further reservation will be placed and none is held. */
+  /** Whether no reservation is held and no further one will be sent. */
   get exhausted(): boolean {
-    return this.#held === 0 && this.#placed >= MOST_PLACEMENTS;
+    return this.#held === 0 && this.#placed >= MAX_PLACEMENTS;
   }
 }
--- a/packages/decisions/src/placement/server_group.ts
+++ b/packages/decisions/src/placement/server_group.ts
@@ -1,15 +1,17 @@
-/** The backend servers of one version, by distance. @module */
+/** The backend servers of one version, grouped by distance. @module */
 import type { BackendServer } from "./backend_server.ts";
 import { BoundedSubset } from "./bounded_subset.ts";
 import { HashRing } from "./hash_ring.ts";
 import type { HashText } from "./hash_text.ts";
 
-/** Subsets per distance, and one ring over the own region. */
+/**
+ * One bounded subset for each distance and a hash ring over the entry's region.
+ */
 export class ServerGroup {
   readonly subsets: readonly [BoundedSubset, BoundedSubset, BoundedSubset];
   /**
-   * Covers the region and not the data centre alone: a hop of 1-2 ms costs less
-   * than the prefill of a prefix that another data centre holds.
+   * Covers the whole region rather than the data centre: a hop of 1-2 ms costs
+   * less than prefilling a prefix that another data centre has cached.
    */
   readonly ring: HashRing;
 
--- a/packages/decisions/test/placement_test.ts
+++ b/packages/decisions/test/placement_test.ts
@@ -4,7 +4,7 @@
 
 const SEED = 20261202;
 
-/** Repeatable numbers in [0, 1). */
+/** Returns a seeded generator of numbers in [0, 1). */
 function createRandom(seed: number): () => number {
   let state = seed;
   return () => {
@@ -30,7 +30,7 @@
   healthy: true,
 };
 
-t.test("never chooses a server twice, leaving or excluded", (t) => {
+t.test("never chooses a leaving, excluded or already chosen server", (t) => {
   const names = fc.array(fc.integer({ min: 0, max: 39 }), { maxLength: 30 });
   fc.assert(
     fc.property(
@@ -43,7 +43,7 @@
       (size, leaving, excluded, count, prefixKey, seed) => {
         const set = createSet(size);
         for (const index of leaving) set.markLeaving(`s${index}`);
-        // The list lags and offers leaving servers again.
+        // The instance list lags and still contains the leaving servers.
         for (const index of leaving) {
           set.add({ name: `s${index}`, dataCentre: "a" }, 1);
         }
@@ -58,10 +58,10 @@
           now,
           random,
         });
-        const left = new Set(leaving.map((index) => `s${index}`));
+        const leavingNames = new Set(leaving.map((index) => `s${index}`));
         return chosen.length <= count &&
           new Set(chosen).size === chosen.length &&
-          chosen.every((name) => !exclude.has(name) && !left.has(name));
+          chosen.every((name) => !exclude.has(name) && !leavingNames.has(name));
       },
     ),
     { seed: SEED, numRuns: 300 },
@@ -70,25 +70,25 @@
   t.end();
 });
 
-t.test("asks the own data centre first and others when it is full", (t) => {
+t.test("chooses other data centres only when the own one is full", (t) => {
   const set = createSet(9);
   const random = createRandom(1);
   const choose = () =>
     set.choose({ count: 2, exclude: new Set(), tierRank: 0, now: 0, random });
-  const near = new Set(["s0", "s3", "s6"]);
+  const ownDataCentre = new Set(["s0", "s3", "s6"]);
   for (let round = 0; round < 20; round++) {
-    t.ok(choose().every((name) => near.has(name)));
+    t.ok(choose().every((name) => ownDataCentre.has(name)));
   }
-  for (const name of near) {
+  for (const name of ownDataCentre) {
     set.observeLoad(name, { ...idle, running: 8, waiting: 9 }, 0);
   }
   for (let round = 0; round < 20; round++) {
-    t.notOk(choose().some((name) => near.has(name)));
+    t.notOk(choose().some((name) => ownDataCentre.has(name)));
   }
   t.end();
 });
 
-t.test("crosses regions only where no nearer server is left", (t) => {
+t.test("chooses other regions only if no nearer server is left", (t) => {
   const set = new BackendServerSet({
     entry: "entry-1",
     dataCentre: "a1",
@@ -110,7 +110,7 @@
   t.end();
 });
 
-t.test("a hot prefix spreads once its servers are full", (t) => {
+t.test("a hot prefix spills over once its server is full", (t) => {
   const set = createSet(30, ["a"]);
   const random = createRandom(1);
   const choose = () =>
@@ -122,16 +122,16 @@
       now: 0,
       random,
     });
-  const [home] = choose();
-  t.strictSame(choose(), [home], "an idle home is kept");
-  set.observeLoad(home!, { ...idle, running: 8, waiting: 4 }, 0);
+  const [first] = choose();
+  t.strictSame(choose(), [first], "the prefix stays on an idle server");
+  set.observeLoad(first!, { ...idle, running: 8, waiting: 4 }, 0);
   const [second] = choose();
-  t.not(second, home);
-  t.strictSame(choose(), [second], "the next home is as stable");
+  t.not(second, first);
+  t.strictSame(choose(), [second], "the prefix stays on the next server");
   t.end();
 });
 
-t.test("entries agree on a prefix's server though their links differ", (t) => {
+t.test("entries with different links agree on a prefix's server", (t) => {
   const [first, second] = ["entry-1", "entry-2"].map((entry) => {
     const set = new BackendServerSet({ entry, dataCentre: "a" });
     for (let index = 0; index < 200; index++) {
@@ -155,9 +155,8 @@
   t.end();
 });
 
-t.test("sheds a tier only when every candidate freshly said so", (t) => {
-  // A caller of a middle tier is refused although a server had room: two of
-  // three servers had said that they were full and the third had said nothing.
+t.test("sheds a tier only if every candidate recently reported it", (t) => {
+  // Guards against shedding while a server without a report may have capacity.
   const set = createSet(3, ["a"]);
   const full = { ...idle, lowestTierRank: 1, expectedWait: 3000 };
   set.observeLoad("s0", full, 0);
@@ -166,11 +165,11 @@
   set.observeLoad("s2", full, 0);
   t.strictSame(set.shedsTier(2, 10), { sheds: true, retryAfter: 2000 });
   t.strictSame(set.shedsTier(1, 10), { sheds: false });
-  t.strictSame(set.shedsTier(2, 1000), { sheds: false }, "stale");
+  t.strictSame(set.shedsTier(2, 1000), { sheds: false }, "outdated reports");
   t.end();
 });
 
-t.test("chooses only servers of the version asked", (t) => {
+t.test("chooses only servers of the requested version", (t) => {
   const set = createSet(20);
   const random = createRandom(3);
   const chosen = set.choose({
@@ -186,7 +185,7 @@
   t.end();
 });
 
-t.test("a plan grows while no grant comes and replaces what is lost", (t) => {
+t.test("a plan grows without a grant and replaces lost reservations", (t) => {
   const plan = new ReservationPlan({ arrived: 100 });
   t.strictSame(plan.next(100), { count: 2, reach: "dataCentre" });
   t.equal(plan.next(101).count, 0);
@@ -204,10 +203,8 @@
   t.end();
 });
 
-t.test("a prefix keeps its servers when all are as full", (t) => {
-  // At twice the capacity every engine has a queue. Prefixes that leave their
-  // servers because of it are prefilled anew everywhere, which costs the
-  // capacity that is short.
+t.test("a prefix stays on its servers if all servers are equally full", (t) => {
+  // Guards against repeated prefill just when every engine has a queue.
   const set = createSet(30, ["a"]);
   const choose = () =>
     set.choose({
@@ -218,14 +215,17 @@
       now: 0,
       random: createRandom(1),
     });
-  const homes = choose();
+  const preferred = choose();
   for (let round = 0; round < 5; round++) {
     for (let index = 0; index < 30; index++) {
       set.observeLoad(`s${index}`, { ...idle, running: 8, waiting: 20 }, 0);
     }
   }
-  t.strictSame(choose(), homes);
-  set.observeLoad(homes[0]!, { ...idle, running: 8, waiting: 60 }, 0);
-  t.notOk(choose().includes(homes[0]!), "fuller than the others");
+  t.strictSame(choose(), preferred);
+  set.observeLoad(preferred[0]!, { ...idle, running: 8, waiting: 60 }, 0);
+  t.notOk(
+    choose().includes(preferred[0]!),
+    "the prefix leaves a fuller server",
+  );
   t.end();
 });
