--- a/packages/decisions/src/limits/concurrency_limit.ts
+++ b/packages/decisions/src/limits/concurrency_limit.ts
@@ -9,8 +9,9 @@
 
 /**
  * An adaptive concurrency limit, derived from the measured behaviour of the
- * server rather than configured. A request counts as running from `started` to
- * `finished`; events with unknown ids are ignored.
+ * server rather than configured. A request counts as running from
+ * {@link ConcurrencyLimit.started} to {@link ConcurrencyLimit.finished}; events
+ * with unknown ids are ignored.
  */
 export abstract class ConcurrencyLimit {
   /**
@@ -18,13 +19,17 @@
    */
   abstract admits(reservation: WaitingReservation): boolean;
 
-  /** The request was granted and uses capacity from now on. */
+  /** Records that the request was granted; it uses capacity from now on. */
   abstract started(id: string, cost: Cost, now: number): void;
 
-  /** The first token, or the head of a plain response, has arrived. */
+  /**
+   * Records that the first token, or the head of a plain response, has arrived.
+   */
   abstract firstToken(id: string, now: number): void;
 
-  /** `outputTokens` tokens have arrived since the previous call. */
+  /**
+   * Records that `outputTokens` tokens have arrived since the previous call.
+   */
   abstract progressed(id: string, outputTokens: number, now: number): void;
 
   abstract finished(id: string, outcome: Outcome, now: number): void;
--- a/packages/decisions/src/limits/prefill_rate.ts
+++ b/packages/decisions/src/limits/prefill_rate.ts
@@ -49,8 +49,8 @@
     if (blocked && this.#consecutiveBlocked < MIN_CONSECUTIVE_BLOCKED) {
       return;
     }
-    const kept = Math.exp(-elapsed / DECAY_TIME);
-    this.#tokens = this.#tokens * kept + promptTokens;
-    this.#prefillTime = this.#prefillTime * kept + DECAY_TIME * (1 - kept);
+    const decay = Math.exp(-elapsed / DECAY_TIME);
+    this.#tokens = this.#tokens * decay + promptTokens;
+    this.#prefillTime = this.#prefillTime * decay + DECAY_TIME * (1 - decay);
   }
 }
--- a/packages/decisions/src/placement/backend_server_set.ts
+++ b/packages/decisions/src/placement/backend_server_set.ts
@@ -12,9 +12,10 @@
  *
  * An entry keeps 16 links per service in its own data centre, 8 to the rest of
  * the region and 4 to other regions. For 5 services these are about 140 links,
- * whose heartbeats fit into 3 KB/s. At each distance, a service with no more
- * sidecars than that is fully linked. Twice as many candidates are drawn as are
- * chosen: the better of two gives most of the benefit of comparing all of them.
+ * whose heartbeats fit into 3 KB/s. A service with up to 16 sidecars in the
+ * entry's data centre is fully linked there. Twice as many candidates are drawn
+ * as are chosen: the better of two gives most of the benefit of comparing all
+ * of them.
  * @module
  */
 import { BackendServer } from "./backend_server.ts";
