--- /dev/null
+++ b/packages/gateway/src/entry_status.ts
@@ -0,0 +1,90 @@
+/**
+ * Status of this entry in the fleet: what it announces to its peers, and its
+ * input to the choice of the granting entry.
+ * @module
+ */
+import { totalShares } from "@sycamorepulley/decisions";
+import type { GrantClient } from "./peers/grant_client.ts";
+import type { FleetView } from "./peers/grant_client.ts";
+import type { PeerStatus } from "./peers/peer_link.ts";
+import type { Peers } from "./peers/peers.ts";
+import { processorCapacity } from "./settings.ts";
+import type { GatewaySettings } from "./settings.ts";
+import type { FleetState } from "./state/fleet_state.ts";
+import type { EntryRegistration } from "./state/entry_registration.ts";
+
+/** Sources of the status. */
+export type EntryStatusOptions = {
+  settings: () => GatewaySettings;
+  /** True once this entry is draining. */
+  isDraining: () => boolean;
+  state: FleetState;
+  peers: Peers;
+  grantClient: GrantClient;
+  registration: EntryRegistration;
+  clock: () => number;
+};
+
+/** Computes the status of this entry and updates its group. */
+export class EntryStatus {
+  readonly #options: EntryStatusOptions;
+
+  constructor(options: EntryStatusOptions) {
+    this.#options = options;
+  }
+
+  /** The status that heartbeats announce. */
+  ownStatus(): PeerStatus {
+    const { state, grantClient } = this.#options;
+    const { processors, leaving, listed } = this.#ownEntry();
+    return {
+      configurationRevision: state.publishedConfiguration.revision,
+      configurationConfirmed: state.configurationConfirmed,
+      serverRevision: state.directory.revision,
+      leaving,
+      processors,
+      listed,
+      asks: grantClient.grantingEntry,
+      shares: this.totalShares(),
+    };
+  }
+
+  /** Total shares of all entries, as far as this one knows. */
+  totalShares(): number {
+    const { state, peers, clock } = this.#options;
+    const reachable = [...peers.entries(), this.#ownEntry()]
+      .map(({ name, listed }) => ({ name, listed, asksThisEntry: false }));
+    const shares = state.membershipList.shares(clock());
+    return totalShares({ present: reachable, shares });
+  }
+
+  /**
+   * Updates the granting entry and the fractions that this entry grants from.
+   */
+  updateGroup(): void {
+    const { state, peers, grantClient, clock } = this.#options;
+    const reported = peers.statuses().map(({ shares }) => shares);
+    grantClient.updateGroup({
+      peers: peers.entries(),
+      self: this.#ownEntry(),
+      shares: state.membershipList.shares(clock()),
+      reportedTotalShares: Math.max(0, ...reported),
+    });
+  }
+
+  #ownEntry(): FleetView["self"] {
+    const { settings, isDraining } = this.#options;
+    return {
+      name: settings().instance,
+      processors: processorCapacity(settings()),
+      leaving: isDraining(),
+      listed: this.#isListed(),
+    };
+  }
+
+  #isListed(): boolean {
+    const { settings, state, registration, clock } = this.#options;
+    const isRegistered = state.members.has(settings().instance);
+    return registration.isCounted(clock(), isRegistered);
+  }
+}
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,5 +1,6 @@
 /**
- * One gateway process: the parts, how they hear of each other, and its stop.
+ * One gateway process: creates its components, passes events between them, and
+ * stops them.
  * @module
  */
 import { randomBytes } from "node:crypto";
@@ -9,7 +10,7 @@
 import type { Result } from "true-myth/result";
 import { ConnectionPool } from "./backend/connection_pool.ts";
 import { UsableServers } from "./backend/usable_servers.ts";
-import { FleetStanding } from "./fleet_standing.ts";
+import { EntryStatus } from "./entry_status.ts";
 import { RequestParser } from "./front/parsed_request.ts";
 import { HttpFrontend } from "./front/http_frontend.ts";
 import { GracefulStop } from "./graceful_stop.ts";
@@ -23,78 +24,78 @@
 import { GrantClient } from "./peers/grant_client.ts";
 import { Peers } from "./peers/peers.ts";
 import type { PeerMessage } from "./peers/messages.ts";
-import type { PeerStanding } from "./peers/peer_link.ts";
+import type { PeerStatus } from "./peers/peer_link.ts";
 import { StateSharing } from "./peers/state_sharing.ts";
 import { randomSource } from "./random.ts";
 import { DrainAdmission } from "./request/drain_admission.ts";
 import { RequestHandler } from "./request/request_handler.ts";
 import { createRetryBudgets } from "./request/retry_budgets.ts";
-import { leewayOf } from "./settings.ts";
+import { quotaLeeway } from "./settings.ts";
 import type { GatewaySettings } from "./settings.ts";
 import { settingsAfterReload } from "./settings_reload.ts";
 import { FleetState } from "./state/fleet_state.ts";
-import { follow } from "./state/follow.ts";
-import { Membership } from "./state/membership.ts";
+import { startStoreFollowers } from "./state/store_followers.ts";
+import { EntryRegistration } from "./state/entry_registration.ts";
 import type { PrefixFollower } from "./state/prefix_follower.ts";
-import type { RecordCodec } from "./state/records.ts";
+import type { RecordCodec } from "./state/record_codec.ts";
 import { StoreContact } from "./state/store_contact.ts";
 import { StartGate } from "./state/start_gate.ts";
 
-/** Milliseconds between looks at what time alone changes in the queues. */
-const PUMP_EVERY = 10;
-/** Milliseconds between log lines on how full services are. */
-const LOAD_EVERY = 1000;
-/** Milliseconds between looks at idle connections. */
-const SWEEP_EVERY = 1000;
-/** What a platform gives to a gateway. */
-export type GatewayParts = {
+/** Milliseconds between scheduling rounds, for what changes with time alone. */
+const SCHEDULING_INTERVAL = 10;
+/** Milliseconds between log lines on the load of services. */
+const LOAD_LOG_INTERVAL = 1000;
+/** Milliseconds between checks for stale connections to backend servers. */
+const CONNECTION_CHECK_INTERVAL = 1000;
+
+/** What a platform provides to a gateway. */
+export type GatewayOptions = {
   settings: GatewaySettings;
   store: MetadataStore;
   codec: RecordCodec;
   headerNames: HeaderNames;
-  /** Where log lines go; standard output if absent. */
+  /** Receives the log lines; standard output if absent. */
   sink?: LineSink;
 };
 
 /** Ports that a gateway listens on. */
 export type GatewayPorts = { front: number; readiness: number; peers: number };
 
-/** See the module. */
 export class Gateway {
   #settings: GatewaySettings;
   readonly #store: MetadataStore;
   readonly #codec: RecordCodec;
   readonly #lifecycle = new ProcessLifecycle();
   /**
-   * Milliseconds of the steady clock. It stands still while a machine is
-   * suspended; the time since boot does not, but where a process sees only its
-   * own part of a machine that time is another machine's, and deadlines and
-   * quotas kept by it are wrong by a tenth and more.
+   * Milliseconds of the monotonic clock. It stops while the machine is
+   * suspended. The time since boot does not stop, but in a container it may be
+   * that of another machine, which makes deadlines and quotas wrong by a tenth
+   * and more.
    */
   readonly #clock = () => performance.now();
   readonly #log: EventLog;
   readonly #metrics = new GatewayMetrics();
-  readonly #contact: StoreContact;
-  readonly #state: FleetState;
-  readonly #pool: ConnectionPool;
-  readonly #granter: GrantClient;
+  readonly #storeContact: StoreContact;
+  readonly #fleetState: FleetState;
+  readonly #connectionPool: ConnectionPool;
+  readonly #grantClient: GrantClient;
   readonly #peers: Peers;
-  readonly #sharing: StateSharing;
-  #configuration: PrefixFollower | undefined;
-  readonly #membership: Membership;
-  readonly #standing: FleetStanding;
-  readonly #servers: UsableServers;
-  readonly #front: HttpFrontend;
-  readonly #load: LoadReport;
-  readonly #pages: StatusServer;
-  readonly #desk: RequestHandler;
-  readonly #gate = new StartGate();
-  readonly #closing = new DrainAdmission();
-  readonly #stopped = new AbortController();
+  readonly #stateSharing: StateSharing;
+  #configurationFollower: PrefixFollower | undefined;
+  readonly #registration: EntryRegistration;
+  readonly #entryStatus: EntryStatus;
+  readonly #usableServers: UsableServers;
+  readonly #frontend: HttpFrontend;
+  readonly #loadReport: LoadReport;
+  readonly #statusServer: StatusServer;
+  readonly #requestHandler: RequestHandler;
+  readonly #startGate = new StartGate();
+  readonly #drainAdmission = new DrainAdmission();
+  readonly #stopController = new AbortController();
   readonly #timers: NodeJS.Timeout[] = [];
 
-  constructor(parts: GatewayParts) {
-    const { settings, store, codec, headerNames: names } = parts;
+  constructor(options: GatewayOptions) {
+    const { settings, store, codec, headerNames } = options;
     this.#settings = settings;
     this.#store = store;
     this.#codec = codec;
@@ -104,128 +105,134 @@
     const random = randomSource();
     this.#log = new EventLog({
       instance,
-      sink: parts.sink ?? new StandardOutputSink(),
+      sink: options.sink ?? new StandardOutputSink(),
       clock,
     });
     const log = this.#log;
-    this.#contact = new StoreContact({ log, clock });
-    this.#state = new FleetState({
+    this.#storeContact = new StoreContact({ log, clock });
+    this.#fleetState = new FleetState({
       codec,
       log,
       clock,
-      contact: this.#contact,
-      changed: (what) => this.#changed(what),
+      contact: this.#storeContact,
+      onChange: (what) => this.#handleStateChange(what),
     });
-    this.#pool = new ConnectionPool(clock);
-    this.#granter = new GrantClient({
+    this.#connectionPool = new ConnectionPool(clock);
+    this.#grantClient = new GrantClient({
       instance,
       incarnation,
       clock,
       log,
       peers: () => this.#peers,
-      leeway: leewayOf(settings.bounds),
+      leeway: quotaLeeway(settings.bounds),
     });
     this.#peers = new Peers({
       instance,
       incarnation,
-      own: settings.peers,
+      ownAddress: settings.peers,
       seeds: settings.seeds,
       events: new GatewayPeerEvents(this),
       log,
       clock,
     });
-    this.#sharing = new StateSharing({
-      state: this.#state,
+    this.#stateSharing = new StateSharing({
+      state: this.#fleetState,
       peers: this.#peers,
       log,
       clock,
       random,
     });
-    this.#membership = new Membership({
+    this.#registration = new EntryRegistration({
       store,
       instance,
       log,
       clock,
-      contact: this.#contact,
+      contact: this.#storeContact,
     });
-    this.#standing = new FleetStanding({
+    this.#entryStatus = new EntryStatus({
       settings: () => this.#settings,
-      leaving: () => this.#lifecycle.state === "leaving",
-      state: this.#state,
+      isDraining: () => this.#lifecycle.state === "leaving",
+      state: this.#fleetState,
       peers: this.#peers,
-      granter: this.#granter,
-      membership: this.#membership,
+      grantClient: this.#grantClient,
+      registration: this.#registration,
       clock,
     });
-    this.#servers = new UsableServers(this.#state.directory);
-    this.#desk = new RequestHandler({
-      parser: new RequestParser(names),
+    this.#usableServers = new UsableServers(this.#fleetState.directory);
+    this.#requestHandler = new RequestHandler({
+      parser: new RequestParser(headerNames),
       context: {
-        headerNames: names,
+        headerNames,
         dataCentre: settings.dataCentre,
         clock,
         random,
         log,
         metrics: this.#metrics,
-        grantClient: this.#granter,
-        connectionPool: this.#pool,
-        ready: this.#gate.opened,
-        drainAdmission: this.#closing,
-        activeConfiguration: () => this.#state.inForce,
-        isConfigurationCurrent: () => this.#sharing.configurationIsNewest(),
-        findServer: (name) => this.#servers.find(name),
+        grantClient: this.#grantClient,
+        connectionPool: this.#connectionPool,
+        ready: this.#startGate.opened,
+        drainAdmission: this.#drainAdmission,
+        activeConfiguration: () => this.#fleetState.activeConfiguration,
+        isConfigurationCurrent: () =>
+          this.#stateSharing.configurationIsNewest(),
+        findServer: (name) => this.#usableServers.find(name),
         consumeRetry: createRetryBudgets(
           () => this.#settings.bounds,
-          () => this.#standing.shares(),
+          () => this.#entryStatus.totalShares(),
         ),
       },
     });
-    this.#front = new HttpFrontend((request, response) =>
+    this.#frontend = new HttpFrontend((request, response) =>
       this.#serve(request, response)
     );
-    this.#load = new LoadReport({
-      grantClient: this.#granter,
+    this.#loadReport = new LoadReport({
+      grantClient: this.#grantClient,
       log,
       metrics: this.#metrics,
-      totalShares: () => this.#standing.shares(),
+      totalShares: () => this.#entryStatus.totalShares(),
     });
-    this.#pages = new StatusServer({
+    this.#statusServer = new StatusServer({
       metrics: this.#metrics,
-      isReady: () => this.#ready(),
-      updateGauges: () => this.#load.updateGauges(),
+      isReady: () => this.#isReady(),
+      updateGauges: () => this.#loadReport.updateGauges(),
     });
   }
 
-  /** Starts; resolves to the ports, which were free to choose if 0. */
+  /**
+   * Starts, and returns the ports; the system chooses those that are set to 0.
+   */
   async start(): Promise<GatewayPorts> {
     const startedAt = performance.now();
     const { settings } = this;
     const peers = await this.#peers.listen();
-    const { signal } = this.#stopped;
+    const { signal } = this.#stopController;
     const followers = { store: this.#store, codec: this.#codec };
-    this.#configuration = follow({
+    this.#configurationFollower = startStoreFollowers({
       ...followers,
-      state: this.#state,
-      contact: this.#contact,
+      state: this.#fleetState,
+      contact: this.#storeContact,
       signal,
       clock: this.#clock,
       group: () => this.#peers.watchGroup(),
     });
-    void this.#membership.run({ ...settings.peers, port: peers });
+    void this.#registration.run({ ...settings.peers, port: peers });
     const { readiness, metrics } = settings;
     const ports = {
       peers,
-      readiness: await this.#pages.listen(readiness, metrics),
-      front: await this.#front.listen(settings.front),
+      readiness: await this.#statusServer.listen(readiness, metrics),
+      front: await this.#frontend.listen(settings.front),
     };
-    this.#gate.started();
-    this.#every(HEARTBEAT_EVERY, () => this.#tick());
-    this.#every(PUMP_EVERY, () => this.#granter.pump());
-    this.#every(
-      SWEEP_EVERY,
-      () => this.#pool.closeStale(this.#servers.all()),
+    this.#startGate.startTimer();
+    this.#repeat(HEARTBEAT_EVERY, () => this.#tick());
+    this.#repeat(
+      SCHEDULING_INTERVAL,
+      () => this.#grantClient.deliverDecisions(),
     );
-    this.#every(LOAD_EVERY, () => this.#load.log());
+    this.#repeat(
+      CONNECTION_CHECK_INTERVAL,
+      () => this.#connectionPool.closeStale(this.#usableServers.all()),
+    );
+    this.#repeat(LOAD_LOG_INTERVAL, () => this.#loadReport.log());
     this.#lifecycle.apply("started");
     this.#log.write({
       event: "started",
@@ -239,148 +246,162 @@
     return this.#settings;
   }
 
-  /** See {@link settingsAfterReload}. */
+  /** Applies reread settings; see {@link settingsAfterReload}. */
   reload(read: Result<GatewaySettings, string>): void {
     const { settings, changed, detail } = settingsAfterReload(
       this.#settings,
       read,
     );
     this.#settings = settings;
-    if (changed) this.#granter.setLeeway(leewayOf(settings.bounds));
+    if (changed) this.#grantClient.setLeeway(quotaLeeway(settings.bounds));
     this.#log.write({ event: "reloaded", changed, detail });
   }
 
   /**
-   * Takes no new work, finishes what runs, ends. A second call changes nothing:
-   * it must not cut what the first one lets finish.
+   * Drains the gateway and stops it once running requests have ended. A second
+   * call does nothing, so that it can't abort requests that the first one lets
+   * finish.
    */
   async stop(): Promise<void> {
     if (!this.#lifecycle.apply("stop")) return;
     const gracePeriod = this.#settings.bounds.gracePeriodSeconds * 1000;
     this.#log.write({
       event: "stopping",
-      active: this.#desk.activeRequests,
+      active: this.#requestHandler.activeRequests,
       grace: gracePeriod,
     });
     const stop = new GracefulStop({
-      front: this.#front,
-      desk: this.#desk,
+      frontend: this.#frontend,
+      requestHandler: this.#requestHandler,
       peers: this.#peers,
-      closing: this.#closing,
+      drainAdmission: this.#drainAdmission,
       clock: this.#clock,
       gracePeriod,
     });
-    this.#front.startDraining();
-    this.#standing.regroup();
+    this.#frontend.startDraining();
+    this.#entryStatus.updateGroup();
     this.#peers.announce();
-    void this.#membership.leave();
+    void this.#registration.leave();
     await stop.finish();
-    this.#log.write({ event: "stopped", cut: this.#desk.activeRequests });
+    this.#log.write({
+      event: "stopped",
+      cut: this.#requestHandler.activeRequests,
+    });
     this.#close();
   }
 
-  received(peer: string, message: PeerMessage): void {
-    if (this.#granter.received(peer, message)) return;
-    if (message.type === "members") this.#state.told(message.members);
+  handlePeerMessage(peer: string, message: PeerMessage): void {
+    if (this.#grantClient.handleMessage(peer, message)) return;
+    if (message.type === "members") {
+      this.#fleetState.mergeMembers(message.members);
+    }
     if (message.type === "heartbeat" && message.leaving) {
-      this.#state.roll.markLeaving(peer);
+      this.#fleetState.membershipList.markLeaving(peer);
     }
-    this.#sharing.received(peer, message);
+    this.#stateSharing.handleMessage(peer, message);
   }
 
-  lost(peer: string): void {
-    this.#granter.lost(peer);
-    this.#sharing.lost(peer);
+  handlePeerLost(peer: string): void {
+    this.#grantClient.removePeer(peer);
+    this.#stateSharing.removePeer(peer);
     this.#metrics.dependencyChanges.inc({ dependency: "peer", change: "lost" });
-    this.#standing.regroup();
+    this.#entryStatus.updateGroup();
   }
 
-  joined(peer: string): void {
+  handlePeerConnected(peer: string): void {
     this.#metrics.dependencyChanges.inc({
       dependency: "peer",
       change: "regained",
     });
     this.#sendMembers(peer);
-    this.#granter.joined(peer);
-    this.#standing.regroup();
+    this.#grantClient.handlePeerConnected(peer);
+    this.#entryStatus.updateGroup();
   }
 
-  /** Another entry asks whom it did not ask before. */
-  regrouped(): void {
-    this.#standing.regroup();
+  /** A peer has changed its granting entry. */
+  handleGroupChange(): void {
+    this.#entryStatus.updateGroup();
   }
 
-  standing(): PeerStanding {
-    return this.#standing.toTell();
+  ownStatus(): PeerStatus {
+    return this.#entryStatus.ownStatus();
   }
 
   /** True once the member list has been read from the store. */
   knowsMembers(): boolean {
-    return this.#state.membersReadFromStore;
+    return this.#fleetState.membersReadFromStore;
   }
 
   #sendMembers(peer: string): void {
-    const heard = new Set(this.#peers.heard());
+    const connected = new Set(this.#peers.connectedPeers());
     const members = this.#peers.knowsMembers(peer)
-      ? this.#state.knownUnregistered(heard)
-      : this.#state.known(heard);
+      ? this.#fleetState.knownUnregisteredMembers(connected)
+      : this.#fleetState.knownMembers(connected);
     this.#peers.send(peer, { type: "members", members });
   }
 
   #serve(request: IncomingMessage, response: ServerResponse): void {
-    void this.#desk.handle(request, response);
+    void this.#requestHandler.handle(request, response);
   }
 
-  #ready(): boolean {
-    return this.#lifecycle.state === "ready" && this.#informed();
+  #isReady(): boolean {
+    return this.#lifecycle.state === "ready" && this.#isStateLoaded();
   }
 
-  /** Knows configuration, servers and entries, from whichever source. */
-  #informed(): boolean {
-    const { inForce, serversKnown, membersKnown } = this.#state;
-    return inForce !== undefined && serversKnown && membersKnown;
+  /**
+   * True once configuration, servers and entries are known, from any source.
+   */
+  #isStateLoaded(): boolean {
+    const { activeConfiguration, serversKnown, membersKnown } =
+      this.#fleetState;
+    return activeConfiguration !== undefined && serversKnown && membersKnown;
   }
 
-  #changed(what: "configuration" | "servers" | "members"): void {
-    if (this.#informed()) this.#gate.open();
+  #handleStateChange(what: "configuration" | "servers" | "members"): void {
+    if (this.#isStateLoaded()) this.#startGate.open();
     if (what === "configuration") {
-      const inForce = this.#state.inForce!;
-      this.#front.applyLimits(inForce.configuration.limits);
-      this.#granter.setQuotas(inForce.quotas);
-      this.#metrics.configurationVersion.set(inForce.configuration.version);
-      this.#configuration?.reached(this.#state.published.revision);
+      const activeConfiguration = this.#fleetState.activeConfiguration!;
+      this.#frontend.applyLimits(activeConfiguration.configuration.limits);
+      this.#grantClient.setQuotas(activeConfiguration.quotas);
+      this.#metrics.configurationVersion.set(
+        activeConfiguration.configuration.version,
+      );
+      this.#configurationFollower?.advanceTo(
+        this.#fleetState.publishedConfiguration.revision,
+      );
       this.#peers.announce("grantPeers");
     } else if (what === "servers") {
-      this.#useServers();
+      this.#refreshServers();
     } else {
-      this.#standing.regroup();
+      this.#entryStatus.updateGroup();
     }
   }
 
-  #useServers(): void {
-    this.#granter.setServers(this.#servers.refresh(this.#clock()));
+  #refreshServers(): void {
+    this.#grantClient.setServers(this.#usableServers.refresh(this.#clock()));
   }
 
   #tick(): void {
-    this.#peers.tick(this.#state.members, this.#state.unregistered());
-    this.#sharing.tick();
-    // Records that lapsed in an outage are dropped by time alone.
-    this.#useServers();
-    this.#standing.regroup();
+    this.#peers.tick(this.#fleetState.members, this.#fleetState.unregistered());
+    this.#stateSharing.tick();
+    // Records that expired in an outage are dropped when their time is up,
+    // without a change in the store.
+    this.#refreshServers();
+    this.#entryStatus.updateGroup();
   }
 
-  #every(interval: number, action: () => void): void {
+  #repeat(interval: number, action: () => void): void {
     this.#timers.push(setInterval(action, interval));
   }
 
   #close(): void {
     this.#lifecycle.apply("drained");
-    this.#stopped.abort();
-    this.#gate.open();
+    this.#stopController.abort();
+    this.#startGate.open();
     for (const timer of this.#timers) clearInterval(timer);
     this.#peers.close();
-    this.#pages.close();
-    this.#front.closeAllConnections();
-    this.#pool.close();
+    this.#statusServer.close();
+    this.#frontend.closeAllConnections();
+    this.#connectionPool.close();
   }
 }
--- a/packages/gateway/src/gateway_peer_events.ts
+++ b/packages/gateway/src/gateway_peer_events.ts
@@ -1,10 +1,9 @@
-/** Hands to a gateway what its links to other entries hear. @module */
+/** Passes the events of the links to other entries on to a gateway. @module */
 import type { Gateway } from "./gateway.ts";
 import type { PeerMessage } from "./peers/messages.ts";
-import type { PeerStanding } from "./peers/peer_link.ts";
+import type { PeerStatus } from "./peers/peer_link.ts";
 import { PeerEvents } from "./peers/peers.ts";
 
-/** See the module. */
 export class GatewayPeerEvents extends PeerEvents {
   readonly #gateway: Gateway;
 
@@ -13,24 +12,24 @@
     this.#gateway = gateway;
   }
 
-  override received(peer: string, message: PeerMessage): void {
-    this.#gateway.received(peer, message);
+  override onMessage(peer: string, message: PeerMessage): void {
+    this.#gateway.handlePeerMessage(peer, message);
   }
 
-  override joined(peer: string): void {
-    this.#gateway.joined(peer);
+  override onPeerConnected(peer: string): void {
+    this.#gateway.handlePeerConnected(peer);
   }
 
-  override regrouped(): void {
-    this.#gateway.regrouped();
+  override onGroupChanged(): void {
+    this.#gateway.handleGroupChange();
   }
 
-  override lost(peer: string): void {
-    this.#gateway.lost(peer);
+  override onPeerLost(peer: string): void {
+    this.#gateway.handlePeerLost(peer);
   }
 
-  override standing(): PeerStanding {
-    return this.#gateway.standing();
+  override ownStatus(): PeerStatus {
+    return this.#gateway.ownStatus();
   }
 
   override knowsMembers(): boolean {
--- a/packages/gateway/src/graceful_stop.ts
+++ b/packages/gateway/src/graceful_stop.ts
@@ -1,6 +1,6 @@
 /**
- * The end of a process that was told to stop: when it stops listening, and when
- * it ends what still runs.
+ * Graceful stop of a gateway process: when it starts to refuse requests, when
+ * it stops listening, and when it stops waiting for running requests.
  * @module
  */
 import { setTimeout as sleep } from "node:timers/promises";
@@ -10,88 +10,99 @@
 import type { RequestHandler } from "./request/request_handler.ts";
 
 /**
- * Milliseconds for which everything is still taken after a request to stop: the
- * balancer asks once a second and believes the second refusal. What callers send
- * later than 3 s after it may not be cut at the end, and has been on its way.
+ * Milliseconds after the stop signal for which all requests are admitted. The
+ * load balancer polls readiness once a second and removes an entry after the
+ * second refusal. Requests sent later than 3 s after the signal must not be cut
+ * off by the end of the process; the difference covers their time in transit, a
+ * signal that comes late and {@link CHECK_INTERVAL}.
  */
-const ALL_TAKEN_FOR = 2700;
-const ALL_TAKEN_PART = 0.5;
+const ADMIT_ALL_TIME = 2700;
+/** Upper bound of that time as a fraction of the grace period. */
+const ADMIT_ALL_FRACTION = 0.5;
 /**
- * Milliseconds for which another entry has to be there before this one may stop
- * listening: the balancer asks it once a second whether it is ready.
+ * Milliseconds for which another entry must have accepted callers before this
+ * one may stop listening: the load balancer polls its readiness once a second.
+ */
+const REPLACED_AFTER = 1500;
+/**
+ * Milliseconds without a request after which callers no longer use this entry.
  */
-const TAKEN_UP_AFTER = 1500;
-/** Milliseconds without a request after which nobody needs this entry. */
 const UNUSED_AFTER = 500;
-/** Milliseconds before its end at which an entry stops listening in any case. */
-const CLOSE_BEFORE = 200;
-/** Milliseconds before the process would be killed at which it ends itself. */
+/**
+ * Milliseconds before its end at which a process stops listening in any case.
+ */
+const STOP_LISTENING_MARGIN = 200;
+/**
+ * Milliseconds before the process would be killed at which it ends by itself.
+ */
 const GRACE_MARGIN = 400;
-/** Milliseconds between looks at what has ended. */
-const LOOK_EVERY = 20;
+/** Milliseconds between checks of the running requests. */
+const CHECK_INTERVAL = 20;
 
-/** One stop; it begins as it is constructed. */
+/** One graceful stop, which begins at construction. */
 export class GracefulStop {
-  readonly #front: HttpFrontend;
-  readonly #desk: RequestHandler;
+  readonly #frontend: HttpFrontend;
+  readonly #requestHandler: RequestHandler;
   readonly #peers: Peers;
-  readonly #closing: DrainAdmission;
+  readonly #drainAdmission: DrainAdmission;
   readonly #clock: () => number;
-  readonly #allTakenUntil: number;
+  readonly #admitAllUntil: number;
   readonly #endAt: number;
-  /** Another entry has taken callers since then. */
-  #othersSince: number;
-  /** A request ran here then. */
-  #usedAt: number;
+  /** Time since which another entry has accepted callers. */
+  #replacedSince: number;
+  /** Last time at which a request ran here. */
+  #lastActiveAt: number;
 
   constructor(options: {
-    front: HttpFrontend;
-    desk: RequestHandler;
+    frontend: HttpFrontend;
+    requestHandler: RequestHandler;
     peers: Peers;
-    closing: DrainAdmission;
+    drainAdmission: DrainAdmission;
     clock: () => number;
     /** Milliseconds until the process is killed. */
     gracePeriod: number;
   }) {
-    this.#front = options.front;
-    this.#desk = options.desk;
+    this.#frontend = options.frontend;
+    this.#requestHandler = options.requestHandler;
     this.#peers = options.peers;
-    this.#closing = options.closing;
+    this.#drainAdmission = options.drainAdmission;
     this.#clock = options.clock;
     const { gracePeriod } = options;
     const now = this.#clock();
-    this.#allTakenUntil = now +
-      Math.min(ALL_TAKEN_FOR, gracePeriod * ALL_TAKEN_PART);
+    this.#admitAllUntil = now +
+      Math.min(ADMIT_ALL_TIME, gracePeriod * ADMIT_ALL_FRACTION);
     this.#endAt = now + gracePeriod - GRACE_MARGIN;
-    this.#othersSince = this.#peers.anyStaying() ? -Infinity : Infinity;
-    this.#usedAt = now;
+    this.#replacedSince = this.#peers.hasActivePeer() ? -Infinity : Infinity;
+    this.#lastActiveAt = now;
   }
 
-  /** Resolves when nothing runs any more, or the process has to end. */
+  /** Resolves when no request runs any more, or the process has to end. */
   async finish(): Promise<void> {
-    while (this.#needed(this.#clock())) await sleep(LOOK_EVERY);
-    this.#front.stopListening();
-    while (this.#desk.activeRequests > 0 && this.#clock() < this.#endAt) {
-      await sleep(LOOK_EVERY);
-      this.#front.closeIdleConnections();
+    while (this.#mustListen(this.#clock())) await sleep(CHECK_INTERVAL);
+    this.#frontend.stopListening();
+    while (
+      this.#requestHandler.activeRequests > 0 && this.#clock() < this.#endAt
+    ) {
+      await sleep(CHECK_INTERVAL);
+      this.#frontend.closeIdleConnections();
     }
   }
 
   /**
-   * False once nothing runs here and callers can go elsewhere or don't come any
-   * more, or when the process is about to end. Until then it listens: where other
-   * entries take callers, the balancer sends none here.
+   * False once no request runs here and callers use other entries or have
+   * stopped coming, or when the process is about to end. It listens until then;
+   * if other entries accept callers, the load balancer sends none here.
    */
-  #needed(now: number): boolean {
-    if (!this.#peers.anyStaying()) this.#othersSince = Infinity;
-    else this.#othersSince = Math.min(this.#othersSince, now);
-    if (this.#desk.activeRequests > 0) this.#usedAt = now;
-    if (now < this.#allTakenUntil) return true;
-    this.#closing.start(this.#endAt);
-    if (now >= this.#endAt - CLOSE_BEFORE) return false;
-    const idle = this.#usedAt < now;
-    const replaced = now - this.#othersSince >= TAKEN_UP_AFTER;
-    const unused = now - this.#usedAt >= UNUSED_AFTER;
+  #mustListen(now: number): boolean {
+    if (!this.#peers.hasActivePeer()) this.#replacedSince = Infinity;
+    else this.#replacedSince = Math.min(this.#replacedSince, now);
+    if (this.#requestHandler.activeRequests > 0) this.#lastActiveAt = now;
+    if (now < this.#admitAllUntil) return true;
+    this.#drainAdmission.start(this.#endAt);
+    if (now >= this.#endAt - STOP_LISTENING_MARGIN) return false;
+    const idle = this.#lastActiveAt < now;
+    const replaced = now - this.#replacedSince >= REPLACED_AFTER;
+    const unused = now - this.#lastActiveAt >= UNUSED_AFTER;
     return !(idle && replaced) && !unused;
   }
 }
--- a/packages/gateway/src/listen.ts
+++ b/packages/gateway/src/listen.ts
@@ -1,8 +1,10 @@
-/** Starting servers. @module */
+/** Starts servers listening. @module */
 import type { AddressInfo, Server } from "node:net";
 import type { Address } from "./settings.ts";
 
-/** Listens at `address`; resolves to the port, which was free to choose if 0. */
+/**
+ * Listens at `address` and returns the port; the system chooses it if it is 0.
+ */
 export function listen(server: Server, address: Address): Promise<number> {
   return new Promise((resolve, reject) => {
     server.once("error", reject);
--- a/packages/gateway/src/mod.ts
+++ b/packages/gateway/src/mod.ts
@@ -1,9 +1,9 @@
-/** An entry that sends to backend servers itself. @module */
+/** An entry that sends requests to backend servers directly. @module */
 export { EventLog, LineSink, StandardOutputSink } from "./observe/event_log.ts";
 export type { LogEvent } from "./observe/events.ts";
 export type { HeaderNames } from "./front/header_names.ts";
 export { Gateway } from "./gateway.ts";
-export type { GatewayParts, GatewayPorts } from "./gateway.ts";
+export type { GatewayOptions, GatewayPorts } from "./gateway.ts";
 export { gatewaySettingsSchema } from "./settings.ts";
 export type { Address, GatewaySettings } from "./settings.ts";
 export type {
@@ -12,4 +12,4 @@
   Organisation,
   ServiceLimits,
 } from "./state/gateway_configuration.ts";
-export { RecordCodec } from "./state/records.ts";
+export { RecordCodec } from "./state/record_codec.ts";
--- a/packages/gateway/src/peers/grant_client.ts
+++ b/packages/gateway/src/peers/grant_client.ts
@@ -1,6 +1,6 @@
 /**
- * Gets a backend server for each request of this entry: from the one entry that
- * grants for the group, which may be this one.
+ * Obtains a backend server for each request of this entry from the granting
+ * entry of its group, which may be this entry itself.
  * @module
  */
 import { groupFractions, selectGrantingEntry } from "@sycamorepulley/decisions";
@@ -15,45 +15,48 @@
   StreamTiming,
 } from "@sycamorepulley/decisions";
 import type { EventLog } from "../observe/event_log.ts";
-import { messageOf } from "./ask_message.ts";
-import { Granting } from "./granting.ts";
-import { HeldAsk } from "./pending_grant.ts";
+import { encodeGrantRequest } from "./grant_request_message.ts";
+import { LocalGranter } from "./local_granter.ts";
+import { PendingGrant } from "./pending_grant.ts";
 import type { GrantResult } from "./pending_grant.ts";
 import type { PeerMessage } from "./messages.ts";
 import type { PeerEntry, Peers } from "./peers.ts";
 import { SharedServerLimits } from "./shared_server_limits.ts";
 
-const NO_ANSWER: StreamTiming = { tokens: 0, measured: 0, pausePart: 0 };
+const NO_STREAM_TIMING: StreamTiming = { tokens: 0, measured: 0, pausePart: 0 };
 
-/** What is asked for one request, with times of this entry's clock. */
+/**
+ * A grant request without its identity; times are those of this entry's clock.
+ */
 export type GrantRequestOptions = Omit<GrantRequest, "id" | "entry">;
 
-/** The fleet as this entry sees it. */
+/** State of the fleet as known to this entry. */
 export type FleetView = {
   peers: readonly PeerEntry[];
-  /** This entry, but for whom it asks. */
+  /** This entry; {@link GrantClient} itself knows its granting entry. */
   self: Omit<PeerEntry, "asks" | "probePending">;
-  /** See `GroupView`. */
+  /** Share of each known entry by name; see `GroupView`. */
   shares: ReadonlyMap<string, number>;
-  stated: number;
+  /** Largest total of shares that a peer announced. */
+  reportedTotalShares: number;
 };
 
-/** An ask under way. */
-export type AskHandle = { id: string; result: Promise<GrantResult> };
+/** A submitted grant request and its future result. */
+export type SubmittedRequest = { id: string; result: Promise<GrantResult> };
 
-/** See the module. */
+/** Submits grant requests, and moves them when the granting entry changes. */
 export class GrantClient {
   readonly #instance: string;
   readonly #incarnation: string;
   readonly #clock: () => number;
   readonly #log: EventLog;
   readonly #peers: () => Peers;
-  readonly #own: Granting;
-  /** What servers state of their limits. */
+  readonly #localGranter: LocalGranter;
+  /** Request-rate limits that backend servers state. */
   readonly limits: SharedServerLimits;
-  readonly #held = new Map<string, HeldAsk>();
-  #granting: string;
-  #number = 0;
+  readonly #pending = new Map<string, PendingGrant>();
+  #grantingEntry: string;
+  #submittedCount = 0;
 
   constructor(
     options: {
@@ -70,67 +73,79 @@
     this.#clock = options.clock;
     this.#log = options.log;
     this.#peers = options.peers;
-    this.#granting = options.instance;
+    this.#grantingEntry = options.instance;
     this.limits = new SharedServerLimits({
       ...options,
       send: (message) => {
-        if (!this.#grantsItself) this.#tell(message);
+        if (!this.#grantsLocally) this.#sendToGrantingEntry(message);
       },
     });
-    this.#own = new Granting({
+    this.#localGranter = new LocalGranter({
       ...options,
       limits: this.limits,
-      answered: (id, answer) => this.#answered(id, answer),
+      onResult: (id, result) => this.#settle(id, result),
     });
   }
 
-  /** See {@link Granting.parts}. */
+  /** See {@link LocalGranter.fractions}. */
   get fractions(): GroupFractions {
-    return this.#own.parts;
+    return this.#localGranter.fractions;
   }
 
-  /** The entry that this one asks for servers; it may be itself. */
-  get granting(): string {
-    return this.#granting;
+  /** Instance name of the granting entry, which may be this entry. */
+  get grantingEntry(): string {
+    return this.#grantingEntry;
   }
 
-  /** See {@link Granting.loads}. */
+  /** See {@link LocalGranter.loads}. */
   loads(): ServiceLoad[] {
-    return this.#own.loads();
+    return this.#localGranter.loads();
   }
 
   setServers(records: readonly ServerRecord[]): void {
-    this.#own.setServers(records);
+    this.#localGranter.setServers(records);
   }
 
   setQuotas(quotas: ReadonlyMap<string, Quota>): void {
-    this.#own.setQuotas(quotas);
+    this.#localGranter.setQuotas(quotas);
   }
 
   setLeeway(leeway: QuotaLeeway): void {
-    this.#own.setLeeway(leeway);
+    this.#localGranter.setLeeway(leeway);
   }
 
-  /** Works out anew who grants, and from which parts this entry does. */
-  regroup(view: FleetView): void {
-    const { peers, self, shares, stated } = view;
+  /**
+   * Selects the granting entry, and the fractions that this entry grants from.
+   */
+  updateGroup(view: FleetView): void {
+    const { peers, self, shares, reportedTotalShares } = view;
     const entries: PeerEntry[] = [
       ...peers,
       { ...self, asks: undefined, probePending: false },
     ];
-    const staying = entries.filter((entry) => !entry.leaving);
-    // Entries that all leave at once have to go on as one group: each for itself
-    // would use the whole of every quota.
-    const able = staying.length > 0 ? staying : entries;
+    const active = entries.filter((entry) => !entry.leaving);
+    // If all entries drain at once they stay one group: each entry on its own
+    // would use every quota in full.
+    const candidates = active.length > 0 ? active : entries;
     // The successor may have failed together with the previous granting entry.
-    const responsive = able.filter((entry) => !entry.probePending);
+    const responsive = candidates.filter((entry) => !entry.probePending);
     const granting = selectGrantingEntry(responsive) ?? this.#instance;
-    const present = entries.map(({ name, listed, asks }) => {
-      const asked = name === this.#instance ? granting : asks;
-      return { name, listed, asksThisEntry: asked === this.#instance };
+    const reachable = entries.map(({ name, listed, asks }) => {
+      const itsGrantingEntry = name === this.#instance ? granting : asks;
+      return {
+        name,
+        listed,
+        asksThisEntry: itsGrantingEntry === this.#instance,
+      };
     });
-    this.#own.setParts(groupFractions({ present, shares, stated }));
-    if (granting === this.#granting) return;
+    this.#localGranter.setFractions(
+      groupFractions({
+        present: reachable,
+        shares,
+        stated: reportedTotalShares,
+      }),
+    );
+    if (granting === this.#grantingEntry) return;
     const { room, quota } = this.fractions;
     this.#log.write({
       event: "group_changed",
@@ -139,57 +154,71 @@
       room: Math.round(room * 1000) / 1000,
       quota: Math.round(quota * 1000) / 1000,
     });
-    this.#moveTo(granting);
+    this.#changeGrantingEntry(granting);
   }
 
-  /** Asks for a server. The ask lives until `withdraw` or `ended`. */
-  submit(request: GrantRequestOptions): AskHandle {
-    const id = `${this.#incarnation}.${++this.#number}`;
-    const ask: GrantRequest = {
-      ...request,
+  /** Requests a grant. It is tracked until `withdraw` or `recordEnd`. */
+  submit(options: GrantRequestOptions): SubmittedRequest {
+    const id = `${this.#incarnation}.${++this.#submittedCount}`;
+    const request: GrantRequest = {
+      ...options,
       id,
       entry: this.#instance,
     };
-    const answer = new Promise<GrantResult>((resolve) => {
-      this.#held.set(id, new HeldAsk(ask, resolve));
+    const result = new Promise<GrantResult>((resolve) => {
+      this.#pending.set(id, new PendingGrant(request, resolve));
     });
-    this.#place(ask);
-    return { id, result: answer };
+    this.#submit(request);
+    return { id, result };
   }
 
-  /** The request does not run: it no longer waits, or its grant goes unused. */
+  /**
+   * Cancels a grant request that no longer waits, or whose grant is not used.
+   */
   withdraw(id: string): void {
-    const held = this.#held.get(id);
-    if (held === undefined) return;
-    this.#held.delete(id);
-    if (this.#grantsItself) this.#own.withdraw(held.ask);
-    else this.#tell({ type: "withdraw", id });
+    const pending = this.#pending.get(id);
+    if (pending === undefined) return;
+    this.#pending.delete(id);
+    if (this.#grantsLocally) this.#localGranter.withdraw(pending.request);
+    else this.#sendToGrantingEntry({ type: "withdraw", id });
   }
 
+  /**
+   * `measured`: milliseconds from sending the request until the response began.
+   */
   recordResponseStart(id: string, measured: number): void {
-    if (!this.#held.has(id)) return;
-    if (this.#grantsItself) this.#own.firstAnswer(id, measured);
-    else this.#tell({ type: "first_answer", id, measured });
+    if (!this.#pending.has(id)) return;
+    if (this.#grantsLocally) {
+      this.#localGranter.recordResponseStart(id, measured);
+    } else {
+      this.#sendToGrantingEntry({ type: "first_answer", id, measured });
+    }
   }
 
-  /** `pace`: how the answer came after its first token, if it did. */
-  recordEnd(id: string, end: RunOutcome, pace: StreamTiming = NO_ANSWER): void {
-    if (!this.#held.delete(id)) return;
-    if (this.#grantsItself) this.#own.ended(id, end, pace);
-    else this.#tell({ type: "ended", id, end, ...pace });
+  /** `timing`: of the response after its first token, if it got that far. */
+  recordEnd(
+    id: string,
+    outcome: RunOutcome,
+    timing: StreamTiming = NO_STREAM_TIMING,
+  ): void {
+    if (!this.#pending.delete(id)) return;
+    if (this.#grantsLocally) this.#localGranter.recordEnd(id, outcome, timing);
+    else {
+      this.#sendToGrantingEntry({ type: "ended", id, end: outcome, ...timing });
+    }
   }
 
-  /** Takes a peer's message about granting; false for any other. */
-  received(peer: string, message: PeerMessage): boolean {
+  /** Handles a peer's message about grants; returns false for any other. */
+  handleMessage(peer: string, message: PeerMessage): boolean {
     switch (message.type) {
       case "server_limit":
-        this.limits.told(message.server, message.observation);
+        this.limits.mergeFromPeer(message.server, message.observation);
         return true;
       case "grant":
         if (message.limit !== undefined) {
-          this.limits.told(message.server, message.limit);
+          this.limits.mergeFromPeer(message.server, message.limit);
         }
-        this.#answered(message.id, {
+        this.#settle(message.id, {
           kind: "grant",
           server: message.server,
           by: peer,
@@ -199,77 +228,89 @@
         const { id, reason, retryAfter } = message;
         const { free, waiting, quotaWait, standing } = message;
         const seen = { free, waiting, quotaWait, standing };
-        const answer = { reason, retryAfter, seen, by: peer };
-        this.#answered(id, { kind: "refuse", ...answer });
+        const result = { reason, retryAfter, seen, by: peer };
+        this.#settle(id, { kind: "refuse", ...result });
         return true;
       }
       default:
-        return this.#own.received(peer, message);
+        return this.#localGranter.handleMessage(peer, message);
     }
   }
 
-  /** A peer is gone, with its connections to backend servers. */
-  lost(peer: string): void {
-    this.#own.lost(peer);
+  /**
+   * Removes a lost peer, whose connections to backend servers are lost with it.
+   */
+  removePeer(peer: string): void {
+    this.#localGranter.removePeer(peer);
   }
 
-  /** A new link to a peer: what it was told before may be lost. */
-  joined(peer: string): void {
-    if (peer !== this.#granting) return;
-    this.limits.tellAll();
-    for (const { ask, server } of this.#held.values()) {
-      this.#tell(messageOf(ask, this.#clock(), server));
+  /**
+   * Repeats all limits and grant requests over a new link to the granting
+   * entry: messages sent over an earlier link may be lost.
+   */
+  handlePeerConnected(peer: string): void {
+    if (peer !== this.#grantingEntry) return;
+    this.limits.sendAll();
+    for (const { request, server } of this.#pending.values()) {
+      this.#sendToGrantingEntry(
+        encodeGrantRequest(request, this.#clock(), server),
+      );
     }
   }
 
-  /** Hands out all that can be decided now. */
-  pump(): void {
-    this.#own.pump();
+  /** See {@link LocalGranter.deliverDecisions}. */
+  deliverDecisions(): void {
+    this.#localGranter.deliverDecisions();
   }
 
-  get #grantsItself(): boolean {
-    return this.#granting === this.#instance;
+  get #grantsLocally(): boolean {
+    return this.#grantingEntry === this.#instance;
   }
 
-  #tell(message: PeerMessage): void {
-    this.#peers().send(this.#granting, message);
+  #sendToGrantingEntry(message: PeerMessage): void {
+    this.#peers().send(this.#grantingEntry, message);
   }
 
-  #place(ask: GrantRequest): void {
-    if (this.#grantsItself) this.#own.ask(ask);
-    else this.#tell(messageOf(ask, this.#clock()));
+  #submit(request: GrantRequest): void {
+    if (this.#grantsLocally) this.#localGranter.submit(request);
+    else this.#sendToGrantingEntry(encodeGrantRequest(request, this.#clock()));
   }
 
-  #moveTo(granting: string): void {
-    const before = this.#granting;
-    this.#granting = granting;
-    // Before any ask: whoever grants has only the shares of those that it knows
-    // to ask it.
-    this.#peers().announceTo([before, granting]);
-    this.limits.tellAll();
-    for (const { ask, server } of this.#held.values()) {
-      // Left where they were, they would take places there for ever.
-      if (before === this.#instance) this.#own.release(ask);
-      else this.#peers().send(before, { type: "release", id: ask.id });
-      if (server === undefined) this.#place(ask);
-      else if (this.#grantsItself) this.#own.adopt(ask, server);
-      else this.#tell(messageOf(ask, this.#clock(), server));
+  #changeGrantingEntry(next: string): void {
+    const previous = this.#grantingEntry;
+    this.#grantingEntry = next;
+    // Announced before any request is sent: an entry grants only from the
+    // shares of the entries that have announced it as their granting entry.
+    this.#peers().announceTo([previous, next]);
+    this.limits.sendAll();
+    for (const { request, server } of this.#pending.values()) {
+      // If not released, they would occupy slots at the previous granting entry
+      // for ever.
+      if (previous === this.#instance) this.#localGranter.release(request);
+      else this.#peers().send(previous, { type: "release", id: request.id });
+      if (server === undefined) this.#submit(request);
+      else if (this.#grantsLocally) this.#localGranter.adopt(request, server);
+      else {
+        this.#sendToGrantingEntry(
+          encodeGrantRequest(request, this.#clock(), server),
+        );
+      }
     }
-    this.pump();
+    this.deliverDecisions();
   }
 
-  #answered(id: string, answer: GrantResult): void {
-    const held = this.#held.get(id);
-    if (held === undefined || held.server !== undefined) {
-      // It was withdrawn meanwhile, or another entry granted it before.
-      if (answer.kind === "grant" && answer.by !== this.#instance) {
-        this.#peers().send(answer.by, { type: "withdraw", id });
+  #settle(id: string, result: GrantResult): void {
+    const pending = this.#pending.get(id);
+    if (pending === undefined || pending.server !== undefined) {
+      // It was withdrawn meanwhile, or has been granted by another entry.
+      if (result.kind === "grant" && result.by !== this.#instance) {
+        this.#peers().send(result.by, { type: "withdraw", id });
       }
       return;
     }
-    held.by = answer.by;
-    if (answer.kind === "grant") held.server = answer.server;
-    else this.#held.delete(id);
-    held.resolve(answer);
+    pending.by = result.by;
+    if (result.kind === "grant") pending.server = result.server;
+    else this.#pending.delete(id);
+    pending.resolve(result);
   }
 }
--- /dev/null
+++ b/packages/gateway/src/peers/grant_request_message.ts
@@ -0,0 +1,64 @@
+/**
+ * Converts grant requests to and from messages. Times are sent as durations,
+ * since the clocks of two instances can't be compared.
+ * @module
+ */
+import type { GrantRequest } from "@sycamorepulley/decisions";
+import type { GrantRequestMessage } from "./messages.ts";
+
+/** `runsAt`: the server that another entry has granted already. */
+export function encodeGrantRequest(
+  request: GrantRequest,
+  now: number,
+  runsAt?: string,
+): GrantRequestMessage {
+  return {
+    type: "ask",
+    id: request.id,
+    service: request.service,
+    tierRank: request.tierRank,
+    routeRank: request.routeRank,
+    organisation: request.organisation,
+    dataCentre: request.dataCentre,
+    promptTokens: request.cost.promptTokens,
+    outputTokens: request.cost.outputTokens,
+    charge: request.charge,
+    age: now - request.arrived,
+    goalIn: request.latencyGoalAt - now,
+    lapsesIn: request.expiresAt - now,
+    endsIn: request.deadline - now,
+    fingerprint: request.fingerprint,
+    spread: request.jitter,
+    avoid: [...request.excludedServers],
+    ...(runsAt === undefined ? {} : { runsAt }),
+  };
+}
+
+/** Restores the grant request from a message that `entry` sent. */
+export function decodeGrantRequest(
+  message: GrantRequestMessage,
+  entry: string,
+  now: number,
+): GrantRequest {
+  return {
+    id: message.id,
+    entry,
+    service: message.service,
+    tierRank: message.tierRank,
+    routeRank: message.routeRank,
+    organisation: message.organisation,
+    dataCentre: message.dataCentre,
+    cost: {
+      promptTokens: message.promptTokens,
+      outputTokens: message.outputTokens,
+    },
+    charge: message.charge,
+    arrived: now - message.age,
+    latencyGoalAt: now + message.goalIn,
+    expiresAt: now + message.lapsesIn,
+    deadline: now + message.endsIn,
+    fingerprint: message.fingerprint,
+    jitter: message.spread,
+    excludedServers: message.avoid,
+  };
+}
--- a/packages/gateway/src/peers/heartbeats.ts
+++ b/packages/gateway/src/peers/heartbeats.ts
@@ -15,36 +15,38 @@
   SILENT_AFTER,
   SUSPECTED_AFTER,
 } from "@sycamorepulley/decisions";
-import type { PeerLink, PeerStanding } from "./peer_link.ts";
+import type { PeerLink, PeerStatus } from "./peer_link.ts";
 import { heartbeatKey } from "./peer_link.ts";
 
 /** Minimum milliseconds between probes of the peers. */
-const PROBE_AGAIN_AFTER = 1000;
+const PROBE_INTERVAL = 1000;
 
-/** Heartbeats over the links of one entry, keyed by the peer's instance name. */
+/**
+ * Heartbeats over the links of one entry, keyed by the peer's instance name.
+ */
 export class Heartbeats {
   readonly #instance: string;
   readonly #links: ReadonlyMap<string, PeerLink>;
-  readonly #standing: () => PeerStanding;
-  /** The entry that this one asks for servers, and since when. */
-  #granting = "";
-  #grantingSince = -Infinity;
+  readonly #ownStatus: () => PeerStatus;
+  /** The granting entry of this entry, and since when. */
+  #grantingEntry = "";
+  #grantingEntrySince = -Infinity;
   #probedAt = -Infinity;
 
   constructor(options: {
     instance: string;
     links: ReadonlyMap<string, PeerLink>;
-    standing: () => PeerStanding;
+    ownStatus: () => PeerStatus;
   }) {
     this.#instance = options.instance;
     this.#links = options.links;
-    this.#standing = options.standing;
+    this.#ownStatus = options.ownStatus;
   }
 
   /** Sends the heartbeats that are due in this round. */
   round(now: number): void {
-    const standing = this.#refreshStanding(now);
-    const key = heartbeatKey(standing, HEARTBEAT_EVERY);
+    const status = this.#refreshOwnStatus(now);
+    const key = heartbeatKey(status, HEARTBEAT_EVERY);
     const peers = [...this.#links].map(([name, link]) => ({
       name,
       grantPeer: this.#isGrantPeer(name, link),
@@ -52,43 +54,43 @@
       heartbeatAt: link.heartbeatAt,
       upToDate: link.heartbeatKey === key,
     }));
-    this.#sendHeartbeats(heartbeatRecipients(peers, now), standing, now);
-    this.#probeSuccessors(standing, now);
+    this.#sendHeartbeats(heartbeatRecipients(peers, now), status, now);
+    this.#probeSuccessors(status, now);
   }
 
   /** Sends a heartbeat to all peers immediately. */
   announceToAll(now: number): void {
-    this.#sendHeartbeats(this.#links.keys(), this.#refreshStanding(now), now);
+    this.#sendHeartbeats(this.#links.keys(), this.#refreshOwnStatus(now), now);
   }
 
   /** Sends a heartbeat to all grant peers immediately. */
   announceToGrantPeers(now: number): void {
-    const standing = this.#refreshStanding(now);
+    const status = this.#refreshOwnStatus(now);
     const grantPeers = [...this.#links]
       .filter(([name, link]) => this.#isGrantPeer(name, link))
       .map(([name]) => name);
-    this.#sendHeartbeats(grantPeers, standing, now);
+    this.#sendHeartbeats(grantPeers, status, now);
   }
 
   /** Sends a heartbeat to the named peers immediately. */
   announceTo(names: Iterable<string>, now: number): void {
-    this.#sendHeartbeats(names, this.#refreshStanding(now), now);
+    this.#sendHeartbeats(names, this.#refreshOwnStatus(now), now);
   }
 
   /** Sends the first heartbeat over a link whose peer is not yet identified. */
   sendFirst(link: PeerLink, now: number): void {
-    const standing = this.#refreshStanding(now);
+    const status = this.#refreshOwnStatus(now);
     const interval = roundRobinInterval(this.#links.size);
-    link.sendHeartbeat({ standing, interval, reply: false }, now);
+    link.sendHeartbeat({ status, interval, reply: false }, now);
   }
 
   /** True for a peer that has exceeded its silence limit. */
   isSilent(name: string, link: PeerLink, now: number): boolean {
     const { probedAt } = link;
     if (probedAt !== undefined && now - probedAt > SILENT_AFTER) return true;
-    const silence = now - link.heardAt;
-    if (name === this.#granting) {
-      return Math.min(silence, now - this.#grantingSince) > SILENT_AFTER;
+    const silence = now - link.lastReceivedAt;
+    if (name === this.#grantingEntry) {
+      return Math.min(silence, now - this.#grantingEntrySince) > SILENT_AFTER;
     }
     return silence > silenceLimit(link.interval);
   }
@@ -99,48 +101,48 @@
   }
 
   /**
-   * Returns the standings known to be current. Grant peers announce changes
+   * Returns the statuses known to be current. Grant peers announce changes
    * immediately, so any recent message from them is enough; of other peers the
    * heartbeat itself has to be recent.
    */
-  currentStandings(now: number): PeerStanding[] {
-    const current: PeerStanding[] = [];
+  currentStatuses(now: number): PeerStatus[] {
+    const current: PeerStatus[] = [];
     for (const [name, link] of this.#links) {
-      const { standing } = link;
-      if (standing === undefined) continue;
+      const { status } = link;
+      if (status === undefined) continue;
       const since = this.#isGrantPeer(name, link)
-        ? link.heardAt
-        : link.standingReceivedAt;
-      if (now - since <= SILENT_AFTER) current.push(standing);
+        ? link.lastReceivedAt
+        : link.statusReceivedAt;
+      if (now - since <= SILENT_AFTER) current.push(status);
     }
     return current;
   }
 
   #isGrantPeer(name: string, link: PeerLink): boolean {
-    return name === this.#granting || link.standing?.asks === this.#instance;
+    return name === this.#grantingEntry || link.status?.asks === this.#instance;
   }
 
-  #refreshStanding(now: number): PeerStanding {
-    const standing = this.#standing();
-    if (standing.asks !== this.#granting) {
-      this.#granting = standing.asks;
-      this.#grantingSince = now;
+  #refreshOwnStatus(now: number): PeerStatus {
+    const status = this.#ownStatus();
+    if (status.asks !== this.#grantingEntry) {
+      this.#grantingEntry = status.asks;
+      this.#grantingEntrySince = now;
     }
-    return standing;
+    return status;
   }
 
   #sendHeartbeats(
     names: Iterable<string>,
-    standing: PeerStanding,
+    status: PeerStatus,
     now: number,
   ): void {
-    for (const name of names) this.#sendHeartbeat(name, { standing, now });
+    for (const name of names) this.#sendHeartbeat(name, { status, now });
   }
 
   #sendHeartbeat(
     name: string,
-    { standing, reply = false, now }: {
-      standing: PeerStanding;
+    { status, reply = false, now }: {
+      status: PeerStatus;
       reply?: boolean;
       now: number;
     },
@@ -150,21 +152,26 @@
     const interval = this.#isGrantPeer(name, link)
       ? HEARTBEAT_EVERY
       : roundRobinInterval(this.#links.size);
-    link.sendHeartbeat({ standing, interval, reply }, now);
+    link.sendHeartbeat({ status, interval, reply }, now);
   }
 
-  /** Probes peers without a recent message when the granting entry is silent. */
-  #probeSuccessors(standing: PeerStanding, now: number): void {
-    const granting = this.#links.get(this.#granting);
-    if (granting === undefined) return;
-    const since = Math.max(granting.heardAt, this.#grantingSince);
+  /**
+   * Probes peers without a recent message when the granting entry is silent.
+   */
+  #probeSuccessors(status: PeerStatus, now: number): void {
+    const grantingLink = this.#links.get(this.#grantingEntry);
+    if (grantingLink === undefined) return;
+    const since = Math.max(
+      grantingLink.lastReceivedAt,
+      this.#grantingEntrySince,
+    );
     if (now - since < SUSPECTED_AFTER) return;
-    if (now - this.#probedAt < PROBE_AGAIN_AFTER) return;
+    if (now - this.#probedAt < PROBE_INTERVAL) return;
     this.#probedAt = now;
     for (const [name, link] of this.#links) {
-      if (now - link.heardAt < HEARTBEAT_EVERY) continue;
+      if (now - link.lastReceivedAt < HEARTBEAT_EVERY) continue;
       link.probedAt = now;
-      this.#sendHeartbeat(name, { standing, reply: true, now });
+      this.#sendHeartbeat(name, { status, reply: true, now });
     }
   }
 }
--- /dev/null
+++ b/packages/gateway/src/peers/local_granter.ts
@@ -0,0 +1,242 @@
+/**
+ * Grants backend servers to this entry and to the peers whose granting entry it
+ * is.
+ *
+ * All of this is soft state and nothing is stored. When the granting entry is
+ * lost, each entry submits its waiting requests to the next one and reports
+ * those that run.
+ * @module
+ */
+import { GroupScheduler } from "@sycamorepulley/decisions";
+import type {
+  GrantDecision,
+  GrantRequest,
+  GroupFractions,
+  Quota,
+  QuotaLeeway,
+  RunOutcome,
+  ServerRecord,
+  ServiceLoad,
+  StreamTiming,
+} from "@sycamorepulley/decisions";
+import { decodeGrantRequest } from "./grant_request_message.ts";
+import type { GrantResult } from "./pending_grant.ts";
+import type { GrantRequestMessage, PeerMessage } from "./messages.ts";
+import type { Peers } from "./peers.ts";
+import type { SharedServerLimits } from "./shared_server_limits.ts";
+
+/** Decides grant requests and delivers the decisions. */
+export class LocalGranter {
+  readonly #instance: string;
+  readonly #clock: () => number;
+  readonly #peers: () => Peers;
+  readonly #onResult: (id: string, result: GrantResult) => void;
+  readonly #scheduler: GroupScheduler;
+  readonly #limits: SharedServerLimits;
+  /** Grant requests of peers that wait or run, by id. */
+  readonly #peerRequests = new Map<string, GrantRequest>();
+  #fractions: GroupFractions = { room: 1, quota: 1 };
+  #quotas: ReadonlyMap<string, Quota> = new Map();
+  /** A delivery is scheduled for the end of this turn of the event loop. */
+  #deliveryScheduled = false;
+
+  constructor(
+    options: {
+      instance: string;
+      clock: () => number;
+      peers: () => Peers;
+      leeway: QuotaLeeway;
+      limits: SharedServerLimits;
+      /** Receives the result of a grant request of this entry. */
+      onResult: (id: string, result: GrantResult) => void;
+    },
+  ) {
+    this.#instance = options.instance;
+    this.#clock = options.clock;
+    this.#peers = options.peers;
+    this.#onResult = options.onResult;
+    this.#limits = options.limits;
+    this.#scheduler = new GroupScheduler(options.leeway, options.limits.known);
+  }
+
+  /**
+   * Fractions of the fleet's capacity and quotas that this entry grants from.
+   */
+  get fractions(): GroupFractions {
+    return this.#fractions;
+  }
+
+  /**
+   * Load of each service; empty while no entry has this one as granting entry.
+   */
+  loads(): ServiceLoad[] {
+    return this.#fractions.room === 0
+      ? []
+      : this.#scheduler.loads(this.#clock());
+  }
+
+  setServers(records: readonly ServerRecord[]): void {
+    this.#scheduler.setServers(records);
+    this.#scheduleDelivery();
+  }
+
+  setQuotas(quotas: ReadonlyMap<string, Quota>): void {
+    this.#quotas = quotas;
+    this.#scheduler.setQuotas(quotas, this.#fractions, this.#clock());
+  }
+
+  setLeeway(leeway: QuotaLeeway): void {
+    this.#scheduler.setLeeway(leeway);
+    this.setQuotas(this.#quotas);
+  }
+
+  setFractions(fractions: GroupFractions): void {
+    const { room, quota } = this.#fractions;
+    if (fractions.room === room && fractions.quota === quota) return;
+    this.#fractions = fractions;
+    this.#scheduler.setQuotas(this.#quotas, fractions, this.#clock());
+    this.#scheduleDelivery();
+  }
+
+  submit(request: GrantRequest): void {
+    const decision = this.#scheduler.submit(request, this.#clock());
+    if (decision !== undefined) this.#deliver(decision);
+    this.#scheduleDelivery();
+  }
+
+  /** See {@link GroupScheduler.withdraw}. */
+  withdraw(request: GrantRequest): void {
+    this.#scheduler.withdraw(request);
+    this.#scheduleDelivery();
+  }
+
+  /** See {@link GroupScheduler.release}. */
+  release(request: GrantRequest): void {
+    this.#scheduler.release(request);
+    this.#scheduleDelivery();
+  }
+
+  /** Counts a request that runs under a grant of another entry. */
+  adopt(request: GrantRequest, server: string): void {
+    this.#scheduler.adopt(request, server);
+    this.#scheduleDelivery();
+  }
+
+  recordResponseStart(id: string, measured: number): void {
+    this.#scheduler.recordResponseStart(id, measured, this.#clock());
+    this.#scheduleDelivery();
+  }
+
+  recordEnd(id: string, outcome: RunOutcome, timing: StreamTiming): void {
+    const now = this.#clock();
+    this.#scheduler.recordStreamTiming(id, timing, now);
+    this.#scheduler.recordEnd(id, outcome, now);
+    this.#scheduleDelivery();
+  }
+
+  /** Handles a peer's message about its grant requests; false for any other. */
+  handleMessage(peer: string, message: PeerMessage): boolean {
+    switch (message.type) {
+      case "ask":
+        this.#handleGrantRequest(peer, message);
+        return true;
+      case "withdraw":
+        this.#removePeerRequest(
+          message.id,
+          (request) => this.withdraw(request),
+        );
+        return true;
+      case "release":
+        this.#removePeerRequest(message.id, (request) => this.release(request));
+        return true;
+      case "first_answer":
+        this.recordResponseStart(message.id, message.measured);
+        return true;
+      case "ended":
+        this.#peerRequests.delete(message.id);
+        this.recordEnd(message.id, message.end, message);
+        return true;
+      default:
+        return false;
+    }
+  }
+
+  /**
+   * Removes a lost peer, whose connections to backend servers are lost with it.
+   */
+  removePeer(peer: string): void {
+    for (const [id, request] of this.#peerRequests) {
+      if (request.entry === peer) this.#peerRequests.delete(id);
+    }
+    this.#scheduler.removeEntry(peer);
+    this.#scheduleDelivery();
+  }
+
+  /** Delivers all grants and refusals that can be decided now. */
+  deliverDecisions(): void {
+    for (const decision of this.#scheduler.decide(this.#clock())) {
+      this.#deliver(decision);
+    }
+  }
+
+  /** Schedules one delivery for all events of this turn of the event loop. */
+  #scheduleDelivery(): void {
+    if (this.#deliveryScheduled) return;
+    this.#deliveryScheduled = true;
+    setImmediate(() => {
+      this.#deliveryScheduled = false;
+      this.deliverDecisions();
+    });
+  }
+
+  #handleGrantRequest(peer: string, message: GrantRequestMessage): void {
+    const request = decodeGrantRequest(message, peer, this.#clock());
+    this.#peerRequests.set(request.id, request);
+    if (message.runsAt === undefined) this.submit(request);
+    else this.adopt(request, message.runsAt);
+  }
+
+  #removePeerRequest(
+    id: string,
+    remove: (request: GrantRequest) => void,
+  ): void {
+    const request = this.#peerRequests.get(id);
+    this.#peerRequests.delete(id);
+    if (request !== undefined) remove(request);
+  }
+
+  #deliver(decision: GrantDecision): void {
+    const { request } = decision;
+    if (request.entry === this.#instance) {
+      this.#onResult(request.id, toGrantResult(decision, this.#instance));
+      return;
+    }
+    if (decision.kind === "grant") {
+      const { server } = decision;
+      const limit = this.#limits.forGrant(server);
+      const message = { type: "grant" as const, id: request.id, server };
+      this.#peers().send(
+        request.entry,
+        limit ? { ...message, limit } : message,
+      );
+      return;
+    }
+    this.#peerRequests.delete(request.id);
+    const { reason, retryAfter, inputs } = decision;
+    this.#peers().send(request.entry, {
+      type: "refuse",
+      id: request.id,
+      reason,
+      retryAfter,
+      ...inputs,
+    });
+  }
+}
+
+function toGrantResult(decision: GrantDecision, by: string): GrantResult {
+  if (decision.kind === "grant") {
+    return { kind: "grant", server: decision.server, by };
+  }
+  const { reason, retryAfter, inputs } = decision;
+  return { kind: "refuse", reason, retryAfter, seen: inputs, by };
+}
--- a/packages/gateway/src/peers/messages.ts
+++ b/packages/gateway/src/peers/messages.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between entries. Durations are milliseconds from the moment of
- * sending: the clocks of two instances are not compared.
+ * Messages between entries. Durations are milliseconds, relative to the time of
+ * sending, since the clocks of two instances can't be compared.
  * @module
  */
 import * as v from "valibot";
@@ -10,8 +10,8 @@
 const amount = v.pipe(v.number(), v.finite());
 const duration = amount;
 
-/** An ask, with times relative to its sending; see `Ask`. */
-export const askMessageSchema = v.object({
+/** A grant request with times relative to its sending; see `GrantRequest`. */
+export const grantRequestMessageSchema = v.object({
   type: v.literal("ask"),
   id: text,
   service: text,
@@ -29,13 +29,17 @@
   fingerprint: text,
   spread: duration,
   avoid: v.array(text),
-  /** Server that another entry granted already: it is counted, not granted. */
+  /**
+   * Server that another entry has granted already: the request is counted as
+   * running there and not granted again.
+   */
   runsAt: v.optional(text),
 });
-/** See {@link askMessageSchema}. */
-export type AskMessage = v.InferOutput<typeof askMessageSchema>;
+export type GrantRequestMessage = v.InferOutput<
+  typeof grantRequestMessageSchema
+>;
 
-/** A backend server, as peers tell of it. */
+/** A backend server, as sent between peers. */
 export const serverSchema = v.object({
   id: text,
   startedAt: v.number(),
@@ -48,21 +52,22 @@
   draining: v.boolean(),
 });
 
-/** See `LimitObservation`; sent as an age. */
-const limitObservation = v.object({
-  /** Absent where the answer stated none. */
+/** A `LimitObservation`; its time is sent as an age. */
+const limitObservationSchema = v.object({
+  /** Requests per second; absent if the response stated no limit. */
   perSecond: v.optional(v.pipe(v.number(), v.finite(), v.minValue(0))),
   by: text,
   age: duration,
 });
-/** See {@link limitObservation}. */
-export type LimitObservationMessage = v.InferOutput<typeof limitObservation>;
+export type LimitObservationMessage = v.InferOutput<
+  typeof limitObservationSchema
+>;
 
-const stateName = v.picklist(["configuration", "servers"]);
-/** What entries pass on to each other of the store. */
-export type StateName = v.InferOutput<typeof stateName>;
+const stateNameSchema = v.picklist(["configuration", "servers"]);
+/** State of the store that entries pass on to each other. */
+export type StateName = v.InferOutput<typeof stateNameSchema>;
 
-/** Everything that entries say to each other. */
+/** All messages between entries. */
 export const peerMessageSchema = v.variant("type", [
   v.object({
     type: v.literal("hello"),
@@ -75,25 +80,25 @@
   v.object({
     type: v.literal("heartbeat"),
     configurationRevision: count,
-    /** The store has told the sender of it, and answers. */
+    /** The sender got that revision from the store, which still answers it. */
     configurationConfirmed: v.optional(v.boolean(), false),
     serverRevision: count,
-    /** The sender takes no part in granting any more. */
+    /** The sender is draining. */
     leaving: v.boolean(),
-    /** The entry that the sender asks for servers; it may be itself. */
+    /** The sender's granting entry, which may be the sender itself. */
     asks: text,
-    /** Shares that all entries have together, as the sender counts them. */
+    /** Total shares of all entries, as the sender counts them. */
     shares: amount,
-    /** Of the sender's instance, in cores. */
+    /** Processor capacity of the sender's instance, in cores. */
     processors: v.optional(v.pipe(v.number(), v.finite()), 1),
-    /** The store lists the sender. */
+    /** The other entries certainly count the sender with its full share. */
     listed: v.boolean(),
     /** Maximum milliseconds until the sender's next heartbeat. */
     interval: v.optional(duration, 200),
     /** Requests an immediate heartbeat from the receiver. */
     reply: v.optional(v.boolean(), false),
   }),
-  /** The entries that the sender knows, sent when a link is new. */
+  /** The entries that the sender knows, sent over each new link. */
   v.object({
     type: v.literal("members"),
     members: v.array(
@@ -101,39 +106,43 @@
         instance: text,
         host: text,
         port: count,
+        /** Milliseconds for which the sender will still count the entry. */
         countedFor: duration,
       }),
     ),
   }),
-  /** Asks for a part of a state that the receiver said it has. */
+  /** Requests one part of a state that the receiver has announced. */
   v.object({
     type: v.literal("pull_state"),
-    state: stateName,
+    state: stateNameSchema,
     revision: count,
     offset: count,
   }),
-  /** `bytes` from `offset` on, of `total`, compressed. */
+  /** Compressed bytes from `offset` on, out of `total` bytes. */
   v.object({
     type: v.literal("state_part"),
-    state: stateName,
+    state: stateNameSchema,
     revision: count,
     offset: count,
     total: count,
     bytes: v.instance(Uint8Array<ArrayBufferLike>),
   }),
-  askMessageSchema,
-  /** The request no longer waits, or did not use its grant. */
+  grantRequestMessageSchema,
+  /** The grant request no longer waits, or its grant was not used. */
   v.object({ type: v.literal("withdraw"), id: text }),
-  /** The sender asks another entry from now on; what was granted may run. */
+  /** The sender has another granting entry now; granted requests still run. */
   v.object({ type: v.literal("release"), id: text }),
+  /**
+   * `measured`: milliseconds from sending the request until its response began.
+   */
   v.object({ type: v.literal("first_answer"), id: text, measured: duration }),
   v.object({
     type: v.literal("ended"),
     id: text,
-    /** Tokens after the first, how long they took, and their longest pause. */
+    /** Tokens after the first one, and the milliseconds that they took. */
     tokens: count,
     measured: duration,
-    /** Over the longest that is accepted. */
+    /** Longest pause between tokens, divided by the longest accepted one. */
     pausePart: v.optional(v.pipe(v.number(), v.finite()), 0),
     end: v.picklist([
       "answered",
@@ -150,26 +159,25 @@
     type: v.literal("grant"),
     id: text,
     server: text,
-    /** The server's limit in force, if it states one. */
-    limit: v.optional(limitObservation),
+    /** The server's request-rate limit, if it states one. */
+    limit: v.optional(limitObservationSchema),
   }),
-  /** What an answer of a server said of its limit. */
+  /** What a response of a server stated about its request-rate limit. */
   v.object({
     type: v.literal("server_limit"),
     server: text,
-    observation: limitObservation,
+    observation: limitObservationSchema,
   }),
   v.object({
     type: v.literal("refuse"),
     id: text,
     reason: v.picklist(["quota", "overload", "no_server", "expired"]),
     retryAfter: duration,
-    /** What the sender saw; see `RefusalInputs`. */
+    /** Inputs of the sender's decision; see `RefusalInputs`. */
     free: v.optional(count, 0),
     waiting: v.optional(count, 0),
     quotaWait: v.optional(duration, 0),
     standing: v.optional(v.picklist(["timely", "returned", "late"])),
   }),
 ]);
-/** See {@link peerMessageSchema}. */
 export type PeerMessage = v.InferOutput<typeof peerMessageSchema>;
--- a/packages/gateway/src/peers/peer_link.ts
+++ b/packages/gateway/src/peers/peer_link.ts
@@ -1,54 +1,60 @@
-/** One connection to another entry, dialled or accepted. @module */
+/** One connection to another entry, opened by either side. @module */
 import type { Socket } from "node:net";
 import { HEARTBEAT_EVERY } from "@sycamorepulley/decisions";
 import { Link } from "@sycamorepulley/protocol";
 import { peerMessageSchema } from "./messages.ts";
 import type { PeerMessage } from "./messages.ts";
 
-/** Largest frame: a configuration of a thousand routes, several times over. */
+/** Maximum frame size: several times a configuration of a thousand routes. */
 const MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024;
 
-/** A peer's last word on itself. */
-export type PeerStanding = {
+/** Status that a peer announces in its heartbeats. */
+export type PeerStatus = {
   configurationRevision: number;
-  /** The store has told it of that revision, and answers. */
+  /** The peer got that revision from the store, which still answers it. */
   configurationConfirmed: boolean;
   serverRevision: number;
   leaving: boolean;
-  /** The entry that it asks for servers. */
+  /** The peer's granting entry. */
   asks: string;
-  /** Shares that all entries have together, as it counts them. */
+  /** Total shares of all entries, as the peer counts them. */
   shares: number;
-  /** Of its instance, in cores. */
+  /** Processor capacity of the peer's instance, in cores. */
   processors: number;
+  /** The other entries certainly count the peer with its full share. */
   listed: boolean;
 };
 
 /** Content of a heartbeat message; see `peerMessageSchema`. */
 export type Heartbeat = {
-  standing: PeerStanding;
+  status: PeerStatus;
   interval: number;
   reply: boolean;
 };
 
 /** Returns a key that is equal for heartbeats with the same content. */
-export function heartbeatKey(standing: PeerStanding, interval: number): string {
-  return JSON.stringify([standing, interval]);
+export function heartbeatKey(status: PeerStatus, interval: number): string {
+  return JSON.stringify([status, interval]);
 }
 
-/** See the module. */
+/** Connection to a peer, with what is known about the peer. */
 export class PeerLink {
   readonly #link: Link<PeerMessage>;
-  /** This side opened it. */
+  /** True if this side opened the connection. */
   readonly dialled: boolean;
-  heardAt: number;
+  /** Time of the last message from the peer. */
+  lastReceivedAt: number;
+  /**
+   * Name of the peer; undefined until its hello, and after a duplicate is
+   * closed.
+   */
   instance: string | undefined;
   incarnation = "";
-  /** Why this side closed it; empty while it did not. */
-  closedFor = "";
-  standing: PeerStanding | undefined;
-  /** Time at which `standing` was received. */
-  standingReceivedAt = -Infinity;
+  /** Why this side closed the connection; empty if it has not. */
+  closeReason = "";
+  status: PeerStatus | undefined;
+  /** Time at which `status` was received. */
+  statusReceivedAt = -Infinity;
   /** Maximum milliseconds until the peer's next heartbeat, as stated by it. */
   interval = HEARTBEAT_EVERY;
   /** The peer has read the member list from the store. */
@@ -63,7 +69,7 @@
 
   constructor(socket: Socket, dialled: boolean, now: number) {
     this.dialled = dialled;
-    this.heardAt = now;
+    this.lastReceivedAt = now;
     this.#link = new Link<PeerMessage>({
       socket,
       maximumFrameBytes: MAXIMUM_FRAME_BYTES,
@@ -82,14 +88,14 @@
 
   sendHeartbeat(heartbeat: Heartbeat, now: number): void {
     this.heartbeatAt = now;
-    const { standing, interval, reply } = heartbeat;
-    this.heartbeatKey = heartbeatKey(standing, interval);
-    this.send({ type: "heartbeat", ...standing, interval, reply }, now);
+    const { status: status, interval, reply } = heartbeat;
+    this.heartbeatKey = heartbeatKey(status, interval);
+    this.send({ type: "heartbeat", ...status, interval, reply }, now);
   }
 
   /** Records the receipt of a message, which also answers a probe. */
-  heard(now: number): void {
-    this.heardAt = now;
+  recordReceipt(now: number): void {
+    this.lastReceivedAt = now;
     this.probedAt = undefined;
   }
 
@@ -98,7 +104,7 @@
   }
 
   close(reason: string): void {
-    this.closedFor = reason;
+    this.closeReason = reason;
     this.#link.close();
   }
 }
--- a/packages/gateway/src/peers/peers.ts
+++ b/packages/gateway/src/peers/peers.ts
@@ -1,5 +1,5 @@
 /**
- * Links to all other entries, and which of them are heard.
+ * Links to all other entries: their opening, identification and loss.
  * @module
  */
 import { connect, createServer } from "node:net";
@@ -13,36 +13,36 @@
 import type { PeerMessage } from "./messages.ts";
 import { Heartbeats } from "./heartbeats.ts";
 import { PeerLink } from "./peer_link.ts";
-import type { PeerStanding } from "./peer_link.ts";
+import type { PeerStatus } from "./peer_link.ts";
 
-/** Milliseconds until a failed dial is tried again. */
-const DIAL_AGAIN_AFTER = 500;
+/** Minimum milliseconds between two dials of the same address. */
+const REDIAL_DELAY = 500;
 const DIAL_TIMEOUT = 500;
 
-/** Another entry, as a group counts it. */
+/** Another entry as a member of the group. */
 export type PeerEntry = GrantCandidate & {
   leaving: boolean;
   listed: boolean;
-  /** The entry that it asks for servers; none before it has said so. */
+  /** Its granting entry; undefined before its first heartbeat. */
   asks: string | undefined;
-  /** It has not yet answered a probe. */
+  /** It has not yet responded to a probe. */
   probePending: boolean;
 };
 
-/** What the owner of the links does with them. */
+/** What {@link Peers} calls of its owner: event handlers and queries. */
 export abstract class PeerEvents {
-  abstract received(peer: string, message: PeerMessage): void;
-  /** A peer is heard for the first time, or again. */
-  abstract joined(peer: string): void;
-  /** A peer asks another entry than before. */
-  abstract regrouped(): void;
-  abstract lost(peer: string): void;
-  abstract standing(): PeerStanding;
+  abstract onMessage(peer: string, message: PeerMessage): void;
+  /** A peer has connected, for the first time or again. */
+  abstract onPeerConnected(peer: string): void;
+  /** A peer has changed its granting entry. */
+  abstract onGroupChanged(): void;
+  abstract onPeerLost(peer: string): void;
+  abstract ownStatus(): PeerStatus;
   /** True once the member list has been read from the store. */
   abstract knowsMembers(): boolean;
 }
 
-/** Links by the peer's instance name. */
+/** Links to the other entries, by the peer's instance name. */
 export class Peers {
   readonly #instance: string;
   readonly #incarnation: string;
@@ -50,18 +50,18 @@
   readonly #log: EventLog;
   readonly #clock: () => number;
   readonly #links = new Map<string, PeerLink>();
-  readonly #unnamed = new Set<PeerLink>();
+  readonly #unidentified = new Set<PeerLink>();
   readonly #dialledAt = new Map<string, number>();
   readonly #heartbeats: Heartbeats;
   readonly #seeds: readonly Address[];
-  readonly #own: Address;
+  readonly #ownAddress: Address;
   #server: Server | undefined;
 
   constructor(
     options: {
       instance: string;
       incarnation: string;
-      own: Address;
+      ownAddress: Address;
       seeds: readonly Address[];
       events: PeerEvents;
       log: EventLog;
@@ -70,7 +70,7 @@
   ) {
     this.#instance = options.instance;
     this.#incarnation = options.incarnation;
-    this.#own = options.own;
+    this.#ownAddress = options.ownAddress;
     this.#seeds = options.seeds;
     this.#events = options.events;
     this.#log = options.log;
@@ -78,39 +78,41 @@
     this.#heartbeats = new Heartbeats({
       instance: options.instance,
       links: this.#links,
-      standing: () => options.events.standing(),
+      ownStatus: () => options.events.ownStatus(),
     });
   }
 
-  /** Peers that are heard, those that are leaving included: they still ask. */
-  heard(): string[] {
+  /**
+   * Connected peers; draining ones are included, as they still request grants.
+   */
+  connectedPeers(): string[] {
     return [...this.#links.keys()];
   }
 
-  /** The same with what each said of itself last. */
+  /** Connected peers with the status that each announced last. */
   entries(): PeerEntry[] {
     return [...this.#links].map(([name, link]) => {
-      const { standing } = link;
+      const { status } = link;
       return {
         name,
-        processors: standing?.processors ?? 0,
-        leaving: standing?.leaving ?? false,
-        listed: standing?.listed ?? false,
-        asks: standing?.asks,
+        processors: status?.processors ?? 0,
+        leaving: status?.leaving ?? false,
+        listed: status?.listed ?? false,
+        asks: status?.asks,
         probePending: this.#heartbeats.isProbePending(link),
       };
     });
   }
 
-  /** What the peers that are heard said of themselves last. */
-  standings(): PeerStanding[] {
-    return [...this.#links.values()].map(({ standing }) => standing)
-      .filter((standing) => standing !== undefined);
+  /** Last announced status of each connected peer. */
+  statuses(): PeerStatus[] {
+    return [...this.#links.values()].map(({ status }) => status)
+      .filter((status) => status !== undefined);
   }
 
-  /** See {@link Heartbeats.currentStandings}. */
-  currentStandings(): PeerStanding[] {
-    return this.#heartbeats.currentStandings(this.#clock());
+  /** See {@link Heartbeats.currentStatuses}. */
+  currentStatuses(): PeerStatus[] {
+    return this.#heartbeats.currentStatuses(this.#clock());
   }
 
   /** True for a peer that has read the member list from the store. */
@@ -118,21 +120,23 @@
     return this.#links.get(peer)?.knowsMembers ?? false;
   }
 
-  /** This entry's place by name among those that hear each other. */
+  /**
+   * Rank of this entry by name among the connected entries, and their number.
+   */
   watchGroup(): WatchGroup {
-    const names = this.heard();
+    const names = this.connectedPeers();
     const rank = names.filter((name) => name < this.#instance).length;
     return { rank, size: names.length + 1 };
   }
 
-  /** True when a peer is heard that isn't leaving. */
-  anyStaying(): boolean {
+  /** True if some connected peer is not draining. */
+  hasActivePeer(): boolean {
     return this.entries().some(({ leaving }) => !leaving);
   }
 
   listen(): Promise<number> {
-    this.#server = createServer((socket) => this.#adopt(socket, false));
-    return listen(this.#server, this.#own);
+    this.#server = createServer((socket) => this.#addLink(socket, false));
+    return listen(this.#server, this.#ownAddress);
   }
 
   send(peer: string, message: PeerMessage): boolean {
@@ -154,8 +158,8 @@
   }
 
   /**
-   * Heartbeats, closing of silent links, dialling of missing ones. `unregistered`
-   * entries may not know of this one.
+   * Closes silent links, sends heartbeats and dials entries without a link.
+   * `unregistered` entries may not know this one, so they are always dialled.
    */
   tick(
     members: ReadonlyMap<string, Member>,
@@ -165,7 +169,8 @@
     this.#closeSilent(now);
     this.#heartbeats.round(now);
     for (const [name, member] of members) {
-      // One of the two dials, or each pair would hold two links.
+      // Only the first by name dials, or each pair of entries would open two
+      // links.
       if (name <= this.#instance || this.#links.has(name)) continue;
       this.#dial(member, now);
     }
@@ -179,14 +184,15 @@
         member.host === seed.host && member.port === seed.port &&
         this.#links.has(member.instance)
       );
-      const self = seed.host === this.#own.host && seed.port === this.#own.port;
+      const self = seed.host === this.#ownAddress.host &&
+        seed.port === this.#ownAddress.port;
       if (!known && !self && this.#links.size === 0) this.#dial(seed, now);
     }
   }
 
   #closeSilent(now: number): void {
-    for (const link of this.#unnamed) {
-      if (now - link.heardAt > SILENT_AFTER) link.close("silent");
+    for (const link of this.#unidentified) {
+      if (now - link.lastReceivedAt > SILENT_AFTER) link.close("silent");
     }
     for (const [name, link] of this.#links) {
       if (this.#heartbeats.isSilent(name, link, now)) link.close("silent");
@@ -196,32 +202,32 @@
   close(): void {
     this.#server?.close();
     for (const link of this.#links.values()) link.close("stopped");
-    for (const link of this.#unnamed) link.close("stopped");
+    for (const link of this.#unidentified) link.close("stopped");
   }
 
   #dial(address: Address, now: number): void {
     const { host, port } = address;
     const key = `${host}:${port}`;
-    if (now - (this.#dialledAt.get(key) ?? -Infinity) < DIAL_AGAIN_AFTER) {
+    if (now - (this.#dialledAt.get(key) ?? -Infinity) < REDIAL_DELAY) {
       return;
     }
     this.#dialledAt.set(key, now);
     const socket = connect({ host, port });
     const giveUp = () => socket.destroy();
     socket.setTimeout(DIAL_TIMEOUT, giveUp);
-    // A peer that can't be reached is dialled again; its absence is what counts.
+    // An unreachable peer is dialled again later, and counts as absent.
     socket.once("error", giveUp);
     socket.once("connect", () => {
       socket.setTimeout(0);
       socket.off("error", giveUp);
-      this.#adopt(socket, true);
+      this.#addLink(socket, true);
     });
   }
 
-  #adopt(socket: Socket, dialled: boolean): void {
+  #addLink(socket: Socket, dialled: boolean): void {
     const now = this.#clock();
     const link = new PeerLink(socket, dialled, now);
-    this.#unnamed.add(link);
+    this.#unidentified.add(link);
     const knowsMembers = this.#events.knowsMembers();
     link.send({
       type: "hello",
@@ -230,86 +236,88 @@
       knowsMembers,
     }, now);
     this.#heartbeats.sendFirst(link, now);
-    void this.#serve(link);
+    void this.#receiveMessages(link);
   }
 
-  async #serve(link: PeerLink): Promise<void> {
+  async #receiveMessages(link: PeerLink): Promise<void> {
     let reason = "closed by the peer";
     try {
       for await (const message of link.messages()) {
-        link.heard(this.#clock());
-        this.#take(link, message);
+        link.recordReceipt(this.#clock());
+        this.#handleMessage(link, message);
       }
     } catch (error) {
       reason = String(error);
     }
-    this.#unnamed.delete(link);
+    this.#unidentified.delete(link);
     const name = link.instance;
     if (name === undefined || this.#links.get(name) !== link) return;
     this.#links.delete(name);
     this.#log.write({
       event: "dependency_lost",
       dependency: `entry ${name}`,
-      detail: link.closedFor || reason,
-      silence: Math.round(this.#clock() - link.heardAt),
+      detail: link.closeReason || reason,
+      silence: Math.round(this.#clock() - link.lastReceivedAt),
     });
-    this.#events.lost(name);
+    this.#events.onPeerLost(name);
   }
 
-  #take(link: PeerLink, message: PeerMessage): void {
+  #handleMessage(link: PeerLink, message: PeerMessage): void {
     if (message.type === "hello") {
       link.knowsMembers = message.knowsMembers;
-      this.#named(link, message.instance, message.incarnation);
+      this.#identify(link, message.instance, message.incarnation);
       return;
     }
     const name = link.instance;
     if (name === undefined) return;
     if (message.type === "heartbeat") {
-      const { type: _type, interval, reply, ...standing } = message;
-      const before = link.standing;
-      link.standing = standing;
-      link.standingReceivedAt = this.#clock();
+      const { type: _type, interval, reply, ...status } = message;
+      const before = link.status;
+      link.status = status;
+      link.statusReceivedAt = this.#clock();
       link.interval = interval;
       if (reply) this.announceTo([name]);
-      if (before?.asks !== standing.asks) this.#events.regrouped();
+      if (before?.asks !== status.asks) this.#events.onGroupChanged();
     }
-    this.#events.received(name, message);
+    this.#events.onMessage(name, message);
   }
 
-  #named(link: PeerLink, instance: string, incarnation: string): void {
+  #identify(link: PeerLink, instance: string, incarnation: string): void {
     link.instance = instance;
     link.incarnation = incarnation;
-    this.#unnamed.delete(link);
+    this.#unidentified.delete(link);
     const before = this.#links.get(instance);
     if (before?.incarnation === incarnation) {
-      this.#keepOne(instance, before, link);
+      this.#resolveDuplicate(instance, before, link);
       return;
     }
     this.#links.set(instance, link);
     if (before !== undefined) {
-      // A restarted peer connects before its old link is found dead.
+      // A restarted peer may connect before its old link is found dead.
       before.close("replaced");
-      this.#events.lost(instance);
+      this.#events.onPeerLost(instance);
     }
     this.#log.write({
       event: "dependency_regained",
       dependency: `entry ${instance}`,
     });
-    this.#events.joined(instance);
+    this.#events.onPeerConnected(instance);
   }
 
-  /** Both sides dialled: both keep the link that the first by name opened. */
-  #keepOne(instance: string, before: PeerLink, link: PeerLink): void {
+  /**
+   * If both sides dialled, both keep the link that the first by name opened.
+   */
+  #resolveDuplicate(instance: string, before: PeerLink, link: PeerLink): void {
     const first = this.#instance < instance;
     const kept = link.dialled === first ? link : before;
     const other = kept === link ? before : link;
     this.#links.set(instance, kept);
-    kept.standing ??= other.standing;
+    kept.status ??= other.status;
     other.instance = undefined;
     other.close("second link");
     if (kept === before) return;
-    // What was on its way over the first one is gone with it.
-    this.#events.lost(instance);
-    this.#events.joined(instance);
+    // Messages in transit over the closed link are lost with it.
+    this.#events.onPeerLost(instance);
+    this.#events.onPeerConnected(instance);
   }
 }
--- a/packages/gateway/src/peers/pending_grant.ts
+++ b/packages/gateway/src/peers/pending_grant.ts
@@ -1,11 +1,11 @@
-/** An ask of this entry, and the answer that its request waits for. @module */
+/** Grant requests of this entry, and their results. @module */
 import type {
   GrantRefusalReason,
   GrantRequest,
   RefusalInputs,
 } from "@sycamorepulley/decisions";
 
-/** What a request is told; `by` is the entry that decided. */
+/** Result of a grant request; `by` is the entry that decided. */
 export type GrantResult =
   | { kind: "grant"; server: string; by: string }
   | {
@@ -16,15 +16,16 @@
     by: string;
   };
 
-/** An ask until its request has ended. */
-export class HeldAsk {
-  readonly ask: GrantRequest;
-  readonly resolve: (answer: GrantResult) => void;
+/** A grant request of this entry, kept until the caller's request has ended. */
+export class PendingGrant {
+  readonly request: GrantRequest;
+  readonly resolve: (result: GrantResult) => void;
+  /** The granted server. */
   server: string | undefined;
   by = "";
 
-  constructor(ask: GrantRequest, resolve: (answer: GrantResult) => void) {
-    this.ask = ask;
+  constructor(request: GrantRequest, resolve: (result: GrantResult) => void) {
+    this.request = request;
     this.resolve = resolve;
   }
 }
--- a/packages/gateway/src/peers/shared_server_limits.ts
+++ b/packages/gateway/src/peers/shared_server_limits.ts
@@ -1,10 +1,11 @@
 /**
- * What servers state of their limits: read from answers, kept, and passed on
+ * Request-rate limits that backend servers state in their responses, shared
  * between the entries of a group.
  *
- * The entry that grants keeps to the limits, but any entry may get the answer that
- * states one. Each tells the entry that it asks, and each grant tells the limit it
- * was made under, so that all can tell the next granting entry.
+ * The granting entry enforces the limits, but any entry may receive the
+ * response that states one. Each entry sends its observations to its granting
+ * entry, and each grant carries the limit that it was made under, so that every
+ * entry can pass the limits on to the next granting entry.
  * @module
  */
 import { parseServerLimit, ServerLimits } from "@sycamorepulley/decisions";
@@ -12,31 +13,31 @@
 import type { EventLog } from "../observe/event_log.ts";
 import type { LimitObservationMessage, PeerMessage } from "./messages.ts";
 
-/** See the module. */
+/** Limits known to one entry. */
 export class SharedServerLimits {
-  /** What this entry knows, its own clock's times. */
+  /** Latest observations; times are those of this entry's clock. */
   readonly known = new ServerLimits();
   readonly #instance: string;
   readonly #clock: () => number;
   readonly #log: EventLog;
-  readonly #tell: (message: PeerMessage) => void;
+  readonly #send: (message: PeerMessage) => void;
 
   constructor(
     options: {
       instance: string;
       clock: () => number;
       log: EventLog;
-      /** Sends to the entry that grants, unless it is this one. */
+      /** Sends to the granting entry, unless that is this entry. */
       send: (message: PeerMessage) => void;
     },
   ) {
     this.#instance = options.instance;
     this.#clock = options.clock;
     this.#log = options.log;
-    this.#tell = options.send;
+    this.#send = options.send;
   }
 
-  /** Takes the header's value of an answer to a request sent at `sentAt`. */
+  /** Observes the limit header of a response to a request sent at `sentAt`. */
   observe(
     server: string,
     value: string | string[] | undefined,
@@ -53,36 +54,35 @@
     }
     const perSecond = stated.value;
     const observedAt = perSecond === undefined ? sentAt : this.#clock();
-    const observation = {
-      perSecond,
-      by: this.#instance,
-      observedAt: observedAt,
-    };
-    if (this.#learn(server, observation)) {
-      this.#tell(this.#messageOf(server, observation));
+    const observation = { perSecond, by: this.#instance, observedAt };
+    if (this.#record(server, observation)) {
+      this.#send(this.#limitMessage(server, observation));
     }
   }
 
-  /** Takes the limit of a grant, or what a peer observed. */
-  told(server: string, { age, perSecond, by }: LimitObservationMessage): void {
+  /** Merges a limit that came with a grant or that a peer observed. */
+  mergeFromPeer(
+    server: string,
+    { age, perSecond, by }: LimitObservationMessage,
+  ): void {
     const observedAt = this.#clock() - Math.max(0, age);
-    this.#learn(server, { perSecond, by, observedAt: observedAt });
+    this.#record(server, { perSecond, by, observedAt });
   }
 
-  /** The limit in force of a server, to send along with a grant. */
-  inGrant(server: string): LimitObservationMessage | undefined {
+  /** The limit in force of a server, to be sent with a grant. */
+  forGrant(server: string): LimitObservationMessage | undefined {
     const limit = this.known.find(server);
     return limit && this.#observationMessage(limit);
   }
 
-  /** Tells the entry that grants all limits in force. */
-  tellAll(): void {
+  /** Sends all limits in force to the granting entry. */
+  sendAll(): void {
     for (const [server, limit] of this.known.activeLimits()) {
-      this.#tell(this.#messageOf(server, limit));
+      this.#send(this.#limitMessage(server, limit));
     }
   }
 
-  /** Limits in force with the milliseconds since they were heard. */
+  /** Limits in force with the milliseconds since their observation. */
   *withAges(): Generator<{ server: string; limit: ServerLimit; age: number }> {
     const now = this.#clock();
     for (const [server, limit] of this.known.activeLimits()) {
@@ -90,8 +90,8 @@
     }
   }
 
-  /** True for news, or a limit that is heard again. */
-  #learn(server: string, observation: LimitObservation): boolean {
+  /** Returns true if the limit is new, changed or confirmed. */
+  #record(server: string, observation: LimitObservation): boolean {
     const change = this.known.observe(server, observation);
     if (change === "changed") {
       const { by, perSecond } = observation;
@@ -105,7 +105,7 @@
     return change !== "nothing";
   }
 
-  #messageOf(server: string, observation: LimitObservation): PeerMessage {
+  #limitMessage(server: string, observation: LimitObservation): PeerMessage {
     return {
       type: "server_limit",
       server,
@@ -114,9 +114,9 @@
   }
 
   #observationMessage(
-    { perSecond, by, observedAt: heardAt }: LimitObservation,
+    { perSecond, by, observedAt }: LimitObservation,
   ): LimitObservationMessage {
-    const age = this.#clock() - heardAt;
+    const age = this.#clock() - observedAt;
     return perSecond === undefined ? { by, age } : { perSecond, by, age };
   }
 }
--- a/packages/gateway/src/peers/state_documents.ts
+++ b/packages/gateway/src/peers/state_documents.ts
@@ -1,4 +1,7 @@
-/** State as peers are sent it: compressed text, in parts. @module */
+/**
+ * State as it is sent to peers: compressed text, divided into parts.
+ * @module
+ */
 import { promisify } from "node:util";
 import { constants, gunzip, gzip } from "node:zlib";
 import { Result } from "true-myth/result";
@@ -6,27 +9,34 @@
 const compress = promisify(gzip);
 const decompress = promisify(gunzip);
 
-/** Bytes of one part: a heartbeat behind it waits for no longer than it takes. */
+/**
+ * Size of a part in bytes; a heartbeat waits until at most one part is sent.
+ */
 const PART_BYTES = 32 * 1024;
-/** Largest state that is taken from a peer, in bytes. */
-const LARGEST_STATE = 16 * 1024 * 1024;
-/** Documents that are kept: a peer may still read one when the next is there. */
-const MOST_KEPT = 4;
+/** Maximum decompressed size of a state from a peer, in bytes. */
+const MAXIMUM_STATE_BYTES = 16 * 1024 * 1024;
+/**
+ * Revisions in the cache: a peer may still read one when a newer one exists.
+ */
+const CACHED_REVISIONS = 4;
 
 /** One revision, compressed. */
 export type StateDocument = { revision: number; bytes: Uint8Array };
 
 /** A part of a document from `offset` on. */
-export function partOf(document: StateDocument, offset: number): Uint8Array {
+export function documentPart(
+  document: StateDocument,
+  offset: number,
+): Uint8Array {
   return document.bytes.subarray(offset, offset + PART_BYTES);
 }
 
-/** The text of a whole document; the error says why it is unreadable. */
-export async function textOf(
+/** Returns the text of a complete document, or why it can't be decompressed. */
+export async function decompressDocument(
   parts: readonly Uint8Array[],
 ): Promise<Result<string, string>> {
   try {
-    const options = { maxOutputLength: LARGEST_STATE };
+    const options = { maxOutputLength: MAXIMUM_STATE_BYTES };
     const text = await decompress(Buffer.concat(parts), options);
     return Result.ok(text.toString("utf8"));
   } catch (error) {
@@ -34,26 +44,29 @@
   }
 }
 
-/** Documents of one kind of state; each is compressed once. */
+/** Cache of the documents of one kind of state; each is compressed once. */
 export class StateDocuments {
-  readonly #kept = new Map<number, Promise<StateDocument>>();
+  readonly #cache = new Map<number, Promise<StateDocument>>();
 
-  /** The document of `revision` if it is kept, else that of the newest `text`. */
+  /**
+   * Returns the document of `revision` if cached, otherwise that of `newest`.
+   */
   async get(
     revision: number,
     newest: { revision: number; text: () => string },
   ): Promise<StateDocument> {
-    const kept = this.#kept.get(revision) ?? this.#kept.get(newest.revision);
-    if (kept !== undefined) return await kept;
-    const document = compressed(newest.revision, newest.text());
-    this.#kept.set(newest.revision, document);
-    const [oldest] = this.#kept.keys();
-    if (this.#kept.size > MOST_KEPT) this.#kept.delete(oldest!);
+    const cached = this.#cache.get(revision) ??
+      this.#cache.get(newest.revision);
+    if (cached !== undefined) return await cached;
+    const document = compressDocument(newest.revision, newest.text());
+    this.#cache.set(newest.revision, document);
+    const [oldest] = this.#cache.keys();
+    if (this.#cache.size > CACHED_REVISIONS) this.#cache.delete(oldest!);
     return await document;
   }
 }
 
-async function compressed(
+async function compressDocument(
   revision: number,
   text: string,
 ): Promise<StateDocument> {
--- a/packages/gateway/src/peers/state_sharing.ts
+++ b/packages/gateway/src/peers/state_sharing.ts
@@ -1,7 +1,7 @@
 /**
- * Passing on what the store says, among entries. The store may turn some
- * machines away while it serves others; these learn of new configurations and
- * leaving servers from their peers.
+ * Shares the store's state between entries. The store may reject the calls of
+ * some machines while it serves others; the entries on those machines learn of
+ * new configurations and draining servers from their peers.
  * @module
  */
 import { StatePull } from "@sycamorepulley/decisions";
@@ -11,31 +11,35 @@
 import type { FleetState } from "../state/fleet_state.ts";
 import { serverSchema } from "./messages.ts";
 import type { PeerMessage, StateName } from "./messages.ts";
-import type { PeerStanding } from "./peer_link.ts";
+import type { PeerStatus } from "./peer_link.ts";
 import type { Peers } from "./peers.ts";
-import { partOf, StateDocuments, textOf } from "./state_documents.ts";
+import {
+  decompressDocument,
+  documentPart,
+  StateDocuments,
+} from "./state_documents.ts";
 
 const serversSchema = v.array(serverSchema);
 
-type PullMessage = Extract<PeerMessage, { type: "pull_state" }>;
-type PartMessage = Extract<PeerMessage, { type: "state_part" }>;
+type PullStateMessage = Extract<PeerMessage, { type: "pull_state" }>;
+type StatePartMessage = Extract<PeerMessage, { type: "state_part" }>;
 
-/** One kind of state: where it is asked for, and what peers are sent. */
-class Shared {
+/** Transfers of one kind of state: `pull` from peers, `documents` to peers. */
+class StateTransfer {
   readonly pull = new StatePull();
   readonly documents = new StateDocuments();
 }
 
-/** Asks peers for what is newer there, and answers them. */
+/** Requests newer state from peers, and answers their requests. */
 export class StateSharing {
   readonly #state: FleetState;
   readonly #peers: Peers;
   readonly #log: EventLog;
   readonly #clock: () => number;
   readonly #random: () => number;
-  readonly #shared: Record<StateName, Shared> = {
-    configuration: new Shared(),
-    servers: new Shared(),
+  readonly #transfers: Record<StateName, StateTransfer> = {
+    configuration: new StateTransfer(),
+    servers: new StateTransfer(),
   };
 
   constructor(options: {
@@ -53,64 +57,69 @@
   }
 
   /**
-   * True while the configuration known here is certainly the newest: the store
+   * True if the configuration in force is certainly the newest: the store
    * confirms it to this entry or to a peer, and no peer has a newer one.
    */
   configurationIsNewest(): boolean {
-    const { revision } = this.#state.published;
-    const standings = this.#peers.standings();
-    const newer = standings.some((standing) =>
-      standing.configurationRevision > revision
+    const { revision } = this.#state.publishedConfiguration;
+    const statuses = this.#peers.statuses();
+    const newer = statuses.some((status) =>
+      status.configurationRevision > revision
     );
     if (newer) return false;
     return this.#state.configurationConfirmed ||
-      this.#peers.currentStandings().some((standing) =>
-        standing.configurationConfirmed &&
-        standing.configurationRevision === revision
+      this.#peers.currentStatuses().some((status) =>
+        status.configurationConfirmed &&
+        status.configurationRevision === revision
       );
   }
 
-  /** Takes a message about state; does nothing with any other. */
-  received(peer: string, message: PeerMessage): void {
+  /** Handles a message about state; ignores any other. */
+  handleMessage(peer: string, message: PeerMessage): void {
     switch (message.type) {
       case "heartbeat":
-        this.#offered(peer, message);
+        this.#recordOffer(peer, message);
         return;
       case "pull_state":
-        void this.#answer(peer, message);
+        void this.#sendPart(peer, message);
         return;
       case "state_part":
-        void this.#take(peer, message);
+        void this.#receivePart(peer, message);
         return;
       default:
     }
   }
 
-  lost(peer: string): void {
-    for (const { pull } of Object.values(this.#shared)) pull.removePeer(peer);
+  removePeer(peer: string): void {
+    for (const { pull } of Object.values(this.#transfers)) {
+      pull.removePeer(peer);
+    }
   }
 
-  /** Looks whether a peer is to be asked for what it has. */
+  /** Requests newer state from a peer where a request is due. */
   tick(): void {
-    this.#look("configuration");
-    this.#look("servers");
+    this.#requestIfDue("configuration");
+    this.#requestIfDue("servers");
   }
 
-  #offered(peer: string, standing: PeerStanding): void {
-    const { configuration, servers } = this.#shared;
-    configuration.pull.recordOffer(peer, standing.configurationRevision);
-    servers.pull.recordOffer(peer, standing.serverRevision);
+  #recordOffer(peer: string, status: PeerStatus): void {
+    const { configuration, servers } = this.#transfers;
+    configuration.pull.recordOffer(peer, status.configurationRevision);
+    servers.pull.recordOffer(peer, status.serverRevision);
     this.tick();
   }
 
-  #look(state: StateName): void {
-    const { pull } = this.#shared[state];
+  #requestIfDue(state: StateName): void {
+    const { pull } = this.#transfers[state];
     const known = this.#revision(state);
     const request = pull.nextRequest(known, this.#clock(), this.#random());
-    if (request !== undefined) this.#ask(state, request);
+    if (request !== undefined) this.#sendRequest(state, request);
   }
 
-  #ask(state: StateName, { peer, revision, offset }: StateRequest): void {
+  #sendRequest(
+    state: StateName,
+    { peer, revision, offset }: StateRequest,
+  ): void {
     if (offset === 0) {
       this.#log.write({
         event: "state_requested",
@@ -122,9 +131,9 @@
     this.#peers.send(peer, { type: "pull_state", state, revision, offset });
   }
 
-  async #answer(peer: string, message: PullMessage): Promise<void> {
+  async #sendPart(peer: string, message: PullStateMessage): Promise<void> {
     const { state, offset } = message;
-    const document = await this.#shared[state].documents.get(
+    const document = await this.#transfers[state].documents.get(
       message.revision,
       { revision: this.#revision(state), text: () => this.#text(state) },
     );
@@ -145,66 +154,66 @@
       revision,
       offset,
       total,
-      bytes: partOf(document, offset),
+      bytes: documentPart(document, offset),
     });
   }
 
-  async #take(peer: string, message: PartMessage): Promise<void> {
+  async #receivePart(peer: string, message: StatePartMessage): Promise<void> {
     const { state } = message;
-    const { pull } = this.#shared[state];
+    const { pull } = this.#transfers[state];
     const step = pull.receivePart(peer, message, this.#clock());
-    if (step.kind === "ask") this.#ask(state, step.request);
+    if (step.kind === "ask") this.#sendRequest(state, step.request);
     if (step.kind !== "whole") return;
     const { revision } = step;
-    const text = await textOf(step.parts);
+    const text = await decompressDocument(step.parts);
     if (text.isErr) {
       pull.markCorrupted(peer);
-      this.#unreadable(state, { from: peer, revision, detail: text.error });
+      this.#logUnreadable(state, { from: peer, revision, detail: text.error });
       return;
     }
-    const value = { revision, text: text.value };
-    const used = state === "configuration"
-      ? this.#state.adopt(value.text, revision, peer)
-      : this.#adoptServers(value, peer);
-    if (!used) pull.markUnusable(revision);
+    const received = { revision, text: text.value };
+    const usable = state === "configuration"
+      ? this.#state.adoptConfiguration(received.text, revision, peer)
+      : this.#adoptServers(received, peer);
+    if (!usable) pull.markUnusable(revision);
   }
 
-  /** False for records that can't be read. */
+  /** Returns false for records that can't be read. */
   #adoptServers(
     { revision, text }: { revision: number; text: string },
     from: string,
   ): boolean {
-    const records = v.safeParse(serversSchema, parsed(text));
+    const records = v.safeParse(serversSchema, parseJson(text));
     if (!records.success) {
       const detail = records.issues[0].message;
-      this.#unreadable("servers", { from, revision, detail });
+      this.#logUnreadable("servers", { from, revision, detail });
       return false;
     }
     this.#state.adoptServers(records.output, revision, from);
     return true;
   }
 
-  #unreadable(
+  #logUnreadable(
     state: StateName,
-    what: { from: string; revision: number; detail: string },
+    details: { from: string; revision: number; detail: string },
   ): void {
-    this.#log.write({ event: "state_unreadable", state, ...what });
+    this.#log.write({ event: "state_unreadable", state, ...details });
   }
 
   #revision(state: StateName): number {
     return state === "configuration"
-      ? this.#state.published.revision
+      ? this.#state.publishedConfiguration.revision
       : this.#state.directory.revision;
   }
 
   #text(state: StateName): string {
     return state === "configuration"
-      ? this.#state.published.value
+      ? this.#state.publishedConfiguration.value
       : JSON.stringify(this.#state.directory.all());
   }
 }
 
-function parsed(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of one gateway process, checked before anything starts. @module */
+/** Settings of one gateway process, validated before it starts. @module */
 import type { QuotaLeeway } from "@sycamorepulley/decisions";
 import * as v from "valibot";
 
@@ -14,52 +14,52 @@
 );
 const positive = v.pipe(v.number(), v.finite(), v.minValue(0));
 
-/** See the fields; durations are milliseconds. */
+/** Schema of the settings; durations are seconds where the name says so. */
 export const gatewaySettingsSchema = v.object({
   /** Name of this instance; unique in the fleet. */
   instance: v.pipe(v.string(), v.minLength(1)),
   dataCentre: v.string(),
-  /** Of this instance, in cores; a part of one too. */
+  /** Cores available on each processor; may be less than 1. */
   processorShare: v.optional(positive, 1),
-  /** How many of them. */
+  /** Number of processors of this instance. */
   processors: v.optional(positive, 1),
-  /** Where callers connect. */
+  /** Address for callers. */
   front: address,
-  /** Where the balancer asks whether this instance takes callers. */
+  /**
+   * Address at which the load balancer polls whether this instance is ready.
+   */
   readiness: address,
-  /** Where other entries connect. */
+  /** Address for other entries. */
   peers: address,
-  /** Where metrics are served. */
+  /** Address for reading metrics. */
   metrics: address,
-  /** Entries to ask before the store has told of any: `host:port`. */
+  /** Entries (`host:port`) to connect to while the store lists no others. */
   seeds: v.array(address),
   bounds: v.object({
-    /** From a request to stop until the process is killed. */
+    /** From the stop signal until the process is killed. */
     gracePeriodSeconds: positive,
-    /** Resends over requests, in any window, over all entries. */
+    /** Retries allowed per request, in any window, over all entries. */
     retryRatio: positive,
-    /** Resends that go free in a window, over all entries. */
+    /** Retries allowed in a window beyond that ratio, over all entries. */
     retrySlack: positive,
     retryWindowSeconds: positive,
-    /** Any span over which quotas are counted. */
+    /** Length of the windows in which quotas are checked; any window counts. */
     quotaWindowSeconds: positive,
-    /** Share beyond rate and burst that is still accepted in a window. */
+    /** Fraction by which a window may exceed rate and burst. */
     quotaOverage: positive,
-    /** Tokens beyond that. */
+    /** Tokens by which a window may exceed that. */
     quotaSlack: positive,
   }),
 });
 
-/** What may change while the process runs. */
+/** Settings that may change while the process runs. */
 export type GatewayBounds = GatewaySettings["bounds"];
 
-/** A host and a port. */
 export type Address = v.InferOutput<typeof address>;
-/** See {@link gatewaySettingsSchema}. */
 export type GatewaySettings = v.InferOutput<typeof gatewaySettingsSchema>;
 
-/** What is accepted beyond a quota, as the settings state it. */
-export function leewayOf(bounds: GatewayBounds): QuotaLeeway {
+/** What is accepted beyond a quota according to the settings. */
+export function quotaLeeway(bounds: GatewayBounds): QuotaLeeway {
   return {
     window: bounds.quotaWindowSeconds * 1000,
     overage: bounds.quotaOverage,
@@ -67,7 +67,7 @@
   };
 }
 
-/** Processor time of the instance, in cores. */
-export function processorsOf(settings: GatewaySettings): number {
+/** Processor capacity of the instance, in cores. */
+export function processorCapacity(settings: GatewaySettings): number {
   return settings.processorShare * settings.processors;
 }
--- a/packages/gateway/src/state/membership.ts
+++ b/packages/gateway/src/state/entry_registration.ts
@@ -1,6 +1,6 @@
 /**
- * Registers this entry in the store under a lease, so that others find it and
- * count it in the fleet.
+ * Registers this entry in the store under a lease, so that other entries find
+ * it and count its share of the fleet.
  * @module
  */
 import { UNREGISTERED_GRACE_PERIOD } from "@sycamorepulley/decisions";
@@ -14,24 +14,24 @@
 /** Prefix of the keys under which entries register. */
 export const MEMBER_PREFIX = "sycamorepulley/entries/";
 /**
- * Milliseconds until the entry of a dead process is dropped. Long enough for a
- * few lost renewals, short against a window of quotas of 8 s.
+ * Milliseconds until the registration of a dead process expires: long enough to
+ * survive a few lost renewals, short compared with a quota window of 8 s.
  */
 const LEASE_DURATION = 4000;
-const RENEW_EVERY = 1000;
-const RETRY_AFTER = 400;
+const RENEWAL_INTERVAL = 1000;
+const RETRY_DELAY = 400;
 
-/** Keeps the entry registered until {@link Membership.leave}. */
-export class Membership {
+/** Keeps the entry registered until {@link EntryRegistration.leave}. */
+export class EntryRegistration {
   readonly #store: MetadataStore;
   readonly #instance: string;
   readonly #log: EventLog;
   readonly #clock: () => number;
   readonly #contact: StoreContact;
-  readonly #stop = new AbortController();
+  readonly #stopController = new AbortController();
   #lease: number | undefined;
   #registered = false;
-  #validUntil = -Infinity;
+  #leaseExpiresAt = -Infinity;
 
   constructor(
     options: {
@@ -50,32 +50,33 @@
   }
 
   /**
-   * True while the other entries certainly count this one. `named`: its name is
-   * registered. Until it has registered itself that is by an earlier start, which
-   * the others count just the same; later its own lease tells, as what it read
-   * may be old.
+   * True while the other entries certainly count this one. `isRegistered`: its
+   * name is in the member list. Until this process has registered, such a
+   * registration is left from an earlier start, which the others count just the
+   * same. Afterwards its own lease decides, as the member list may be out of
+   * date.
    */
-  counted(now: number, named: boolean): boolean {
-    if (this.#validUntil === -Infinity) return named;
-    return now < this.#validUntil + UNREGISTERED_GRACE_PERIOD;
+  isCounted(now: number, isRegistered: boolean): boolean {
+    if (this.#leaseExpiresAt === -Infinity) return isRegistered;
+    return now < this.#leaseExpiresAt + UNREGISTERED_GRACE_PERIOD;
   }
 
-  /** `address`: where other entries connect. */
+  /** Keeps the entry registered; `address` is where other entries connect. */
   async run(address: Address): Promise<void> {
     const member: Member = { instance: this.#instance, ...address };
-    const { signal } = this.#stop;
+    const { signal } = this.#stopController;
     while (!signal.aborted) {
       const kept = this.#registered
         ? await this.#renew()
         : await this.#register(member);
-      const duration = kept ? RENEW_EVERY : RETRY_AFTER;
-      await pause(duration, signal, this.#contact.turn);
+      const duration = kept ? RENEWAL_INTERVAL : RETRY_DELAY;
+      await pause(duration, signal, this.#contact.availabilityChange);
     }
   }
 
-  /** Takes the entry out, so that nobody waits for it. */
+  /** Ends the registration, so that no other entry waits for this one. */
   async leave(): Promise<void> {
-    this.#stop.abort();
+    this.#stopController.abort();
     if (this.#lease === undefined) return;
     await this.#store.endLease(this.#lease);
   }
@@ -83,8 +84,8 @@
   async #register(member: Member): Promise<boolean> {
     const startedAt = this.#clock();
     const lease = await this.#store.grantLease(LEASE_DURATION);
-    if (lease.isErr) return this.#failed(lease.error, startedAt);
-    this.#contact.heard();
+    if (lease.isErr) return this.#recordFailure(lease.error, startedAt);
+    this.#contact.recordStoreResponse();
     this.#lease = lease.value;
     const written = await this.#store.transact({
       expected: [],
@@ -95,11 +96,11 @@
       }],
       removals: [],
     });
-    if (written.isErr) return this.#failed(written.error, startedAt);
-    this.#contact.heard();
+    if (written.isErr) return this.#recordFailure(written.error, startedAt);
+    this.#contact.recordStoreResponse();
     if (written.value.kind !== "committed") return false;
     this.#registered = true;
-    this.#validUntil = startedAt + LEASE_DURATION;
+    this.#leaseExpiresAt = startedAt + LEASE_DURATION;
     this.#log.write({ event: "registered", lease: lease.value });
     return true;
   }
@@ -107,10 +108,10 @@
   async #renew(): Promise<boolean> {
     const startedAt = this.#clock();
     const renewed = await this.#store.renewLease(this.#lease ?? 0);
-    if (renewed.isErr) return this.#failed(renewed.error, startedAt);
-    this.#contact.heard();
+    if (renewed.isErr) return this.#recordFailure(renewed.error, startedAt);
+    this.#contact.recordStoreResponse();
     if (renewed.value) {
-      this.#validUntil = startedAt + LEASE_DURATION;
+      this.#leaseExpiresAt = startedAt + LEASE_DURATION;
       return true;
     }
     this.#registered = false;
@@ -118,9 +119,9 @@
     return false;
   }
 
-  #failed(error: PlatformError, startedAt: number): false {
+  #recordFailure(error: PlatformError, startedAt: number): false {
     const time = this.#clock() - startedAt;
-    this.#contact.failed({ error, prefix: "", time });
+    this.#contact.recordStoreFailure({ error, prefix: "", time });
     return false;
   }
 }
--- a/packages/gateway/src/state/fleet_state.ts
+++ b/packages/gateway/src/state/fleet_state.ts
@@ -1,7 +1,7 @@
 /**
- * What this process believes: the configuration, the backend servers, the other
- * entries. Fed by the store, and by peers while the store can't be reached;
- * only ever moves forward.
+ * The fleet as known to this process: the configuration, the backend servers
+ * and the other entries. Updated from the store, and from peers while the store
+ * can't be reached; never goes back to an older revision.
  * @module
  */
 import { MembershipList, ServerDirectory } from "@sycamorepulley/decisions";
@@ -10,38 +10,37 @@
 import type { EventLog } from "../observe/event_log.ts";
 import { ActiveConfiguration } from "./gateway_configuration.ts";
 import type { PrefixListener } from "./prefix_follower.ts";
-import type { RecordCodec } from "./records.ts";
+import type { RecordCodec } from "./record_codec.ts";
 import { StateListener } from "./state_listener.ts";
 import type { StoreContact } from "./store_contact.ts";
 
-/** Another entry's address for its peers. */
+/** Address of an entry for its peers. */
 export type Member = { instance: string; host: string; port: number };
 
-/** An entry, and for how many milliseconds more a peer counts it. */
+/** An entry, and the milliseconds for which it will still be counted. */
 export type KnownMember = Member & { countedFor: number };
 
-/** The configuration's stored text, for peers that can't reach the store. */
-export type PublishedText = { revision: number; value: string };
+/** Stored text of the configuration, for peers that can't reach the store. */
+export type PublishedConfiguration = { revision: number; value: string };
 
-/** Called on every change of what is believed. */
+/** Called on every change of the state. */
 export type StateChanged = (
   what: "configuration" | "servers" | "members",
 ) => void;
 
-/** See the module. */
 export class FleetState {
   readonly directory = new ServerDirectory();
-  /** Entries that are registered. */
+  /** Registered entries, by instance name. */
   readonly members = new Map<string, Member>();
-  readonly roll = new MembershipList();
-  /** Where entries are that are registered no more, or never were here. */
+  readonly membershipList = new MembershipList();
+  /** Entries that are no longer registered, or known from peers only. */
   readonly #unregistered = new Map<string, Member>();
   readonly #codec: RecordCodec;
   readonly #log: EventLog;
   readonly #clock: () => number;
-  readonly #changed: StateChanged;
-  #inForce: ActiveConfiguration | undefined;
-  #published: PublishedText = { revision: 0, value: "" };
+  readonly #onChange: StateChanged;
+  #activeConfiguration: ActiveConfiguration | undefined;
+  #publishedConfiguration: PublishedConfiguration = { revision: 0, value: "" };
   #configurationConfirmed = false;
   #serversKnown = false;
   #membersKnown = false;
@@ -53,39 +52,41 @@
       log: EventLog;
       clock: () => number;
       contact: StoreContact;
-      changed: StateChanged;
+      onChange: StateChanged;
     },
   ) {
     this.#codec = options.codec;
     this.#log = options.log;
     this.#clock = options.clock;
-    this.#changed = options.changed;
-    options.contact.listen(this.directory);
-    options.contact.listen({
+    this.#onChange = options.onChange;
+    options.contact.addListener(this.directory);
+    options.contact.addListener({
       recordStoreResponse: () => {},
       recordStoreFailure: () => this.#configurationConfirmed = false,
     });
   }
 
-  get inForce(): ActiveConfiguration | undefined {
-    return this.#inForce;
+  get activeConfiguration(): ActiveConfiguration | undefined {
+    return this.#activeConfiguration;
   }
 
-  get published(): PublishedText {
-    return this.#published;
+  get publishedConfiguration(): PublishedConfiguration {
+    return this.#publishedConfiguration;
   }
 
-  /** True while no call to the store has failed since it last told of it. */
+  /**
+   * True while no call to the store has failed since it last confirmed this.
+   */
   get configurationConfirmed(): boolean {
     return this.#configurationConfirmed;
   }
 
-  /** False until servers were read once, from the store or a peer. */
+  /** True once servers have been received from the store or a peer. */
   get serversKnown(): boolean {
     return this.#serversKnown;
   }
 
-  /** False until the store or a peer has told which entries there are. */
+  /** True once a member list has been received from the store or a peer. */
   get membersKnown(): boolean {
     return this.#membersKnown;
   }
@@ -96,11 +97,11 @@
   }
 
   /**
-   * Adopts a newer configuration; older ones and unreadable ones change nothing.
-   * False for one that can't be read.
+   * Adopts a newer configuration; older and unreadable ones change nothing.
+   * Returns false for one that can't be read.
    */
-  adopt(value: string, revision: number, from: string): boolean {
-    if (revision <= this.#published.revision) return true;
+  adoptConfiguration(value: string, revision: number, from: string): boolean {
+    if (revision <= this.#publishedConfiguration.revision) return true;
     const decoded = this.#codec.decodeConfiguration(value);
     if (decoded.isErr) {
       this.#log.write({
@@ -111,19 +112,19 @@
       });
       return false;
     }
-    this.#published = { revision, value };
-    this.#inForce = new ActiveConfiguration(decoded.value);
+    this.#publishedConfiguration = { revision, value };
+    this.#activeConfiguration = new ActiveConfiguration(decoded.value);
     this.#log.write({
       event: "configuration_adopted",
       version: decoded.value.version,
       revision,
       from,
     });
-    this.#changed("configuration");
+    this.#onChange("configuration");
     return true;
   }
 
-  /** Takes over a peer's servers if they are newer than what is known here. */
+  /** Adopts a peer's servers if they are newer than those known here. */
   adoptServers(
     records: readonly ServerRecord[],
     revision: number,
@@ -138,12 +139,12 @@
       revision,
       count: records.length,
     });
-    this.#changed("servers");
+    this.#onChange("servers");
   }
 
-  /** Entries that are not registered and may live on. */
+  /** Entries that are not registered but may still run. */
   unregistered(): Map<string, Member> {
-    const shares = this.roll.shares(this.#clock());
+    const shares = this.membershipList.shares(this.#clock());
     for (const name of this.#unregistered.keys()) {
       if (!shares.has(name) || this.members.has(name)) {
         this.#unregistered.delete(name);
@@ -152,68 +153,68 @@
     return this.#unregistered;
   }
 
-  /** What a peer is told of the entries that are counted, or `heard`. */
-  known(heard: ReadonlySet<string>): KnownMember[] {
+  /** Member list for a peer: the entries that are counted or `connected`. */
+  knownMembers(connected: ReadonlySet<string>): KnownMember[] {
     const members = new Map([...this.unregistered(), ...this.members]);
-    const times = this.roll.countedFor(this.#clock());
+    const times = this.membershipList.countedFor(this.#clock());
     return [...members].map(([name, member]) => ({
       ...member,
       countedFor: times.get(name) ?? 0,
     })).filter(({ instance, countedFor }) =>
-      countedFor > 0 || heard.has(instance)
+      countedFor > 0 || connected.has(instance)
     );
   }
 
-  /** The part of {@link known} that is not registered in the store. */
-  knownUnregistered(heard: ReadonlySet<string>): KnownMember[] {
-    return this.known(heard)
+  /** The part of {@link knownMembers} that is not registered in the store. */
+  knownUnregisteredMembers(connected: ReadonlySet<string>): KnownMember[] {
+    return this.knownMembers(connected)
       .filter(({ instance }) => !this.members.has(instance));
   }
 
-  /** Takes over what a peer knows of the entries. */
-  told(members: readonly KnownMember[]): void {
+  /** Merges a peer's member list. */
+  mergeMembers(members: readonly KnownMember[]): void {
     const now = this.#clock();
     for (const { countedFor, ...member } of members) {
       if (this.members.has(member.instance)) continue;
-      this.roll.mergeFromPeer(member.instance, countedFor, now);
+      this.membershipList.mergeFromPeer(member.instance, countedFor, now);
       this.#unregistered.set(member.instance, member);
     }
     this.#membersKnown = true;
-    this.#changed("members");
+    this.#onChange("members");
   }
 
-  /** Listens to the configuration's key. */
+  /** Returns a listener for the configuration's key. */
   configurationListener(): PrefixListener {
     return new StateListener({
-      snapshot: (items) => {
-        items.forEach((item) => this.#configuration(item));
+      onSnapshot: (items) => {
+        items.forEach((item) => this.#readConfiguration(item));
         this.#configurationConfirmed = true;
       },
-      change: (change) => {
-        if (change.kind === "written") this.#configuration(change.item);
+      onChange: (change) => {
+        if (change.kind === "written") this.#readConfiguration(change.item);
       },
-      advanced: () => this.#configurationConfirmed = true,
+      onBatchEnd: () => this.#configurationConfirmed = true,
     });
   }
 
-  /** Listens to the backend servers' keys. */
+  /** Returns a listener for the backend servers' keys. */
   serverListener(): PrefixListener {
     return new StateListener({
-      snapshot: (items, asOf) => {
-        const records = items.map((item) => this.#server(item))
+      onSnapshot: (items, asOf) => {
+        const records = items.map((item) => this.#decodeServer(item))
           .filter((record) => record !== undefined);
         this.directory.replace(records, asOf, this.#clock());
         this.#serversKnown = true;
-        this.#changed("servers");
+        this.#onChange("servers");
       },
-      change: (change) => this.#serverChanged(change),
-      advanced: (_asOf, any) => {
-        if (any) this.#changed("servers");
+      onChange: (change) => this.#applyServerChange(change),
+      onBatchEnd: (_asOf, hasChanges) => {
+        if (hasChanges) this.#onChange("servers");
       },
     });
   }
 
-  /** Listens to the keys under which entries register. */
+  /** Returns a listener for the keys under which entries register. */
   memberListener(
     prefix: string,
     decode: (value: string) => Member | undefined,
@@ -223,48 +224,48 @@
       if (member === undefined) return;
       const name = item.key.slice(prefix.length);
       this.members.set(name, member);
-      this.roll.markRegistered(name);
+      this.membershipList.markRegistered(name);
     };
     return new StateListener({
-      snapshot: (items) => {
+      onSnapshot: (items) => {
         for (const [name, member] of this.members) {
           this.#unregistered.set(name, member);
         }
         this.members.clear();
         items.forEach(put);
-        this.roll.replace(this.members.keys(), this.#clock());
+        this.membershipList.replace(this.members.keys(), this.#clock());
         this.#membersKnown = true;
         this.#membersReadFromStore = true;
-        this.#changed("members");
+        this.#onChange("members");
       },
-      change: (change) => {
+      onChange: (change) => {
         if (change.kind === "written") put(change.item);
-        else this.#lapsed(change.key.slice(prefix.length));
+        else this.#unregister(change.key.slice(prefix.length));
       },
-      advanced: (_asOf, any) => {
-        if (any) this.#changed("members");
+      onBatchEnd: (_asOf, hasChanges) => {
+        if (hasChanges) this.#onChange("members");
       },
     });
   }
 
-  #lapsed(name: string): void {
+  #unregister(name: string): void {
     const member = this.members.get(name);
     if (member !== undefined) this.#unregistered.set(name, member);
     this.members.delete(name);
-    this.roll.markUnregistered(name, this.#clock());
+    this.membershipList.markUnregistered(name, this.#clock());
   }
 
-  #configuration(item: StoredItem): void {
+  #readConfiguration(item: StoredItem): void {
     if (item.key !== this.#codec.configurationKey) return;
-    this.adopt(item.value, item.revision, "store");
+    this.adoptConfiguration(item.value, item.revision, "store");
   }
 
-  #server(item: StoredItem): ServerRecord | undefined {
+  #decodeServer(item: StoredItem): ServerRecord | undefined {
     const id = item.key.slice(this.#codec.serverPrefix.length);
     return this.#codec.decodeServer(id, item.value);
   }
 
-  #serverChanged(change: ItemChange): void {
+  #applyServerChange(change: ItemChange): void {
     const now = this.#clock();
     const key = change.kind === "written" ? change.item.key : change.key;
     const id = key.slice(this.#codec.serverPrefix.length);
@@ -274,7 +275,7 @@
     this.directory.advance(revision);
     const before = this.directory.find(id);
     if (change.kind === "removed") this.directory.remove(id, now);
-    else this.directory.put(id, this.#server(change.item), now);
+    else this.directory.put(id, this.#decodeServer(change.item), now);
     const after = this.directory.find(id);
     if (before?.draining === after?.draining && before && after) return;
     this.#log.write({
--- a/packages/gateway/src/state/gateway_configuration.ts
+++ b/packages/gateway/src/state/gateway_configuration.ts
@@ -2,7 +2,7 @@
 import { RouteTable } from "@sycamorepulley/decisions";
 import type { Quota, Route } from "@sycamorepulley/decisions";
 
-/** What callers may send, and how long they may take. Durations in ms. */
+/** Limits on callers' requests and connections; durations in milliseconds. */
 export type CallerLimits = {
   headerBytes: number;
   bodyBytes: number;
@@ -10,8 +10,9 @@
   idleTimeout: number;
 };
 
-/** What a service's servers take from all entries together, and send. */
+/** Properties of a service's backend servers. */
 export type ServiceLimits = {
+  /** Connections accepted from all entries together. */
   connections: number;
   /** Tokens in one event of a stream. */
   tokensPerEvent: number;
@@ -21,26 +22,26 @@
 export type Organisation = {
   name: string;
   credentials: readonly string[];
-  /** Goes before the routes' rank. */
+  /** Takes precedence over the tier rank of the route. */
   tierRank: number | undefined;
   quota: Quota | undefined;
-  /** Tokens that a request counts as which does not state its own. */
+  /** Tokens charged for a request that does not state its own number. */
   plainTokens: number;
-  /** Its quota counts tokens; otherwise requests. */
+  /** True if its quota counts tokens, false if it counts requests. */
   countsTokens: boolean;
 };
 
-/** One published version, as decoded. */
+/** One published version of the configuration, decoded. */
 export type GatewayConfiguration = {
   version: number;
   routes: readonly Route[];
   services: ReadonlyMap<string, ServiceLimits>;
   limits: CallerLimits;
-  /** Empty: no credentials are asked for. */
+  /** If empty, no credentials are required. */
   organisations: readonly Organisation[];
 };
 
-/** A configuration with its look-up tables. */
+/** A configuration with its lookup tables. */
 export class ActiveConfiguration {
   readonly configuration: GatewayConfiguration;
   readonly routes: RouteTable;
--- a/packages/gateway/src/state/member_record.ts
+++ b/packages/gateway/src/state/member_record.ts
@@ -1,4 +1,4 @@
-/** What an entry writes of itself into the store. @module */
+/** The record under which an entry registers in the store. @module */
 import * as v from "valibot";
 import type { Member } from "./fleet_state.ts";
 
@@ -8,7 +8,7 @@
   port: v.number(),
 });
 
-/** `undefined` for a value of another writer. */
+/** Returns `undefined` for a value that no entry wrote. */
 export function decodeMember(value: string): Member | undefined {
   let parsed: unknown;
   try {
--- a/packages/gateway/src/state/pause.ts
+++ b/packages/gateway/src/state/pause.ts
@@ -1,4 +1,4 @@
-/** Waiting that may end early. @module */
+/** A delay that can be ended early. @module */
 
 /** Resolves after `duration` milliseconds, or once a signal is aborted. */
 export function pause(
--- a/packages/gateway/src/state/prefix_follower.ts
+++ b/packages/gateway/src/state/prefix_follower.ts
@@ -1,12 +1,13 @@
 /**
- * Follows the keys below a prefix of the store: reads all, then watches.
+ * Follows the keys below a prefix of the store: reads them all, then watches
+ * them.
  *
- * Watches are short. A connection may go silent without being closed, and a long
- * watch on it would show nothing for as long: changes of the configuration would
- * be missed. A call that waits while the store stops answering, or answers again,
- * may have been lost: it is made anew at once. What was missed meanwhile, or that
- * the history of it is gone, the store may tell only at the end of a watch, so
- * the first one after a call that ended early waits for nothing.
+ * Watches are short. A connection may go silent without being closed, and a
+ * long watch on it would miss changes of the configuration until its end. A
+ * call that is pending when the store stops responding, or responds again, may
+ * have been lost, and is repeated at once. The store may report missed changes,
+ * or that it has compacted its history, only at the end of a watch, so the
+ * first watch after a call that ended early does not wait for changes.
  * @module
  */
 import type {
@@ -19,37 +20,37 @@
 import { pause } from "./pause.ts";
 import type { StoreContact } from "./store_contact.ts";
 
-/** Milliseconds until a failed read is made again, first and at most. */
-const FIRST_BACKOFF = 100;
-const LONGEST_BACKOFF = 800;
-/** Milliseconds that the store is to hold a watch that catches up. */
-const CATCH_UP_WAIT = 1;
+/** Milliseconds until a failed call is repeated: the first and the maximum. */
+const INITIAL_BACKOFF = 100;
+const MAXIMUM_BACKOFF = 800;
+/** Milliseconds that the store holds a watch that only catches up. */
+const CATCH_UP_TIMEOUT = 1;
 
-/** Takes in what the follower reads. `asOf` is the store's revision. */
+/** Receives what a follower reads. `asOf` is the store's revision. */
 export abstract class PrefixListener {
-  abstract snapshot(items: readonly StoredItem[], asOf: number): void;
-  abstract changes(changes: readonly ItemChange[], asOf: number): void;
+  abstract onSnapshot(items: readonly StoredItem[], asOf: number): void;
+  abstract onChanges(changes: readonly ItemChange[], asOf: number): void;
 }
 
-/** The revision to watch from; none while all has to be read. */
-type Position = number | undefined;
+/** The revision to watch from; undefined if all keys have to be read. */
+type WatchPosition = number | undefined;
 
-/** Runs until its signal is aborted. */
+/** Follows the keys below one prefix. */
 export class PrefixFollower {
   readonly #store: MetadataStore;
   readonly #prefix: string;
   readonly #listener: PrefixListener;
   readonly #contact: StoreContact;
-  readonly #wait: () => number;
+  readonly #watchTimeout: () => number;
   readonly #coalescingDelay: () => number;
   readonly #clock: () => number;
-  #attempt = new AbortController();
-  /** The last call ended early. */
-  #behind = false;
+  #pendingCall = new AbortController();
+  /** The last call failed or was aborted; changes may have been missed. */
+  #lastCallFailed = false;
   /** The last watch returned changes. */
   #changesReceived = false;
-  /** Revision up to which all is known from elsewhere. */
-  #reached: Position;
+  /** Revision up to which all changes are known from another source. */
+  #knownRevision: WatchPosition;
 
   constructor(
     options: {
@@ -57,9 +58,13 @@
       prefix: string;
       listener: PrefixListener;
       contact: StoreContact;
-      /** Milliseconds that the store holds a watch; bounds a silent connection. */
-      wait: () => number;
-      /** Milliseconds to delay the next watch after one that returned changes. */
+      /**
+       * Milliseconds that the store holds a watch; bounds undetected silence.
+       */
+      watchTimeout: () => number;
+      /**
+       * Milliseconds to delay the next watch after one that returned changes.
+       */
       coalescingDelay?: () => number;
       clock: () => number;
     },
@@ -68,114 +73,119 @@
     this.#prefix = options.prefix;
     this.#listener = options.listener;
     this.#contact = options.contact;
-    this.#wait = options.wait;
+    this.#watchTimeout = options.watchTimeout;
     this.#coalescingDelay = options.coalescingDelay ?? (() => 0);
     this.#clock = options.clock;
   }
 
   /**
-   * States that all up to `revision` is known from elsewhere: a call under way
-   * for less is given up, which matters where its answer fills a thin link.
+   * States that all changes up to `revision` are known from another source.
+   * Aborts a pending call for older ones, whose response could saturate a slow
+   * link.
    */
-  reached(revision: number): void {
-    if (revision <= (this.#reached ?? 0)) return;
-    this.#reached = revision;
-    this.#attempt.abort();
+  advanceTo(revision: number): void {
+    if (revision <= (this.#knownRevision ?? 0)) return;
+    this.#knownRevision = revision;
+    this.#pendingCall.abort();
   }
 
+  /** Runs until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
-    let position: Position;
-    let backoff = FIRST_BACKOFF;
+    let position: WatchPosition;
+    let backoff = INITIAL_BACKOFF;
     while (!signal.aborted) {
       const startedAt = this.#clock();
-      const attempt = new AbortController();
-      this.#attempt = attempt;
-      const next = await this.#call(position, attempt);
+      const pendingCall = new AbortController();
+      this.#pendingCall = pendingCall;
+      const next = await this.#call(position, pendingCall);
       if (next.isOk) {
-        position = this.#ahead(next.value);
-        backoff = FIRST_BACKOFF;
-        this.#behind = false;
+        position = this.#advance(next.value);
+        backoff = INITIAL_BACKOFF;
+        this.#lastCallFailed = false;
         await this.#delayAfterChanges(signal);
         continue;
       }
-      this.#behind = true;
-      position = this.#ahead(position);
-      if (attempt.signal.aborted) continue;
-      this.#contact.failed({
+      this.#lastCallFailed = true;
+      position = this.#advance(position);
+      if (pendingCall.signal.aborted) continue;
+      this.#contact.recordStoreFailure({
         error: next.error,
         prefix: this.#prefix,
         time: this.#clock() - startedAt,
       });
-      // Ends sooner when the store answers another call.
-      await pause(backoff, signal, this.#contact.turn);
-      backoff = Math.min(LONGEST_BACKOFF, backoff * 2);
+      // Ends early when the store responds to another call.
+      await pause(backoff, signal, this.#contact.availabilityChange);
+      backoff = Math.min(MAXIMUM_BACKOFF, backoff * 2);
     }
   }
 
   async #delayAfterChanges(signal: AbortSignal): Promise<void> {
     const duration = this.#changesReceived ? this.#coalescingDelay() : 0;
     this.#changesReceived = false;
-    if (duration > 0) await pause(duration, signal, this.#contact.turn);
+    if (duration > 0) {
+      await pause(duration, signal, this.#contact.availabilityChange);
+    }
   }
 
-  /** One call; given up when the store's answering changes. */
+  /** Makes one call; aborts it when the store stops responding or resumes. */
   async #call(
-    position: Position,
-    attempt: AbortController,
-  ): Promise<Result<Position, PlatformError>> {
-    const { turn } = this.#contact;
-    const giveUp = () => attempt.abort();
-    turn.addEventListener("abort", giveUp);
+    position: WatchPosition,
+    pendingCall: AbortController,
+  ): Promise<Result<WatchPosition, PlatformError>> {
+    const { availabilityChange } = this.#contact;
+    const abort = () => pendingCall.abort();
+    availabilityChange.addEventListener("abort", abort);
     const next = position === undefined
-      ? await this.#readAll(attempt.signal)
-      : await this.#watch(position, attempt.signal);
-    turn.removeEventListener("abort", giveUp);
+      ? await this.#readAll(pendingCall.signal)
+      : await this.#watch(position, pendingCall.signal);
+    availabilityChange.removeEventListener("abort", abort);
     return next;
   }
 
-  /** The position after what came from elsewhere, which counts once. */
-  #ahead(position: Position): Position {
-    const reached = this.#reached;
-    this.#reached = undefined;
-    if (reached === undefined) return position;
-    return Math.max(position ?? 0, reached);
+  /** Moves a position to the known revision, which is then consumed. */
+  #advance(position: WatchPosition): WatchPosition {
+    const knownRevision = this.#knownRevision;
+    this.#knownRevision = undefined;
+    if (knownRevision === undefined) return position;
+    return Math.max(position ?? 0, knownRevision);
   }
 
   async #readAll(
     signal: AbortSignal,
-  ): Promise<Result<Position, PlatformError>> {
+  ): Promise<Result<WatchPosition, PlatformError>> {
     const items: StoredItem[] = [];
     let asOf: number | undefined;
     let after: string | undefined;
     for (;;) {
       const page = await this.#store.readPage(this.#prefix, after, signal);
       if (page.isErr) return Result.err(page.error);
-      this.#contact.heard();
-      // Pages are no snapshot: what changed since the first one is watched for.
+      this.#contact.recordStoreResponse();
+      // Pages are no snapshot: the watch starts at the revision of the first
+      // one.
       asOf ??= page.value.asOf;
       items.push(...page.value.items);
       after = page.value.items.at(-1)?.key;
       if (!page.value.more || after === undefined) break;
     }
-    this.#listener.snapshot(items, asOf);
+    this.#listener.onSnapshot(items, asOf);
     return Result.ok(asOf);
   }
 
   async #watch(
     position: number,
     signal: AbortSignal,
-  ): Promise<Result<Position, PlatformError>> {
+  ): Promise<Result<WatchPosition, PlatformError>> {
     const batch = await this.#store.watchPrefix({
       prefix: this.#prefix,
       after: position,
-      wait: this.#behind ? CATCH_UP_WAIT : this.#wait(),
+      wait: this.#lastCallFailed ? CATCH_UP_TIMEOUT : this.#watchTimeout(),
       signal,
     });
     if (batch.isErr) return Result.err(batch.error);
-    this.#contact.heard();
+    this.#contact.recordStoreResponse();
     if (batch.value.kind === "compacted") return Result.ok(undefined);
     this.#changesReceived = batch.value.changes.length > 0;
-    this.#listener.changes(batch.value.changes, batch.value.asOf);
+    this.#listener.onChanges(batch.value.changes, batch.value.asOf);
     return Result.ok(Math.max(position, batch.value.asOf));
   }
 }
--- a/packages/gateway/src/state/records.ts
+++ b/packages/gateway/src/state/record_codec.ts
@@ -1,20 +1,20 @@
-/** How stored values become the gateway's types; one codec for each platform. @module */
+/** Decodes stored values; each platform has its own codec. @module */
 import type { ServerRecord } from "@sycamorepulley/decisions";
 import type { Result } from "true-myth/result";
 import type { GatewayConfiguration } from "./gateway_configuration.ts";
 
-/** Where the platform keeps what the gateway follows, and how to read it. */
+/** Keys and decoders of what the gateway follows in the platform's store. */
 export abstract class RecordCodec {
   /** Key of the configuration. */
   abstract readonly configurationKey: string;
   /** Prefix of the keys of backend servers. */
   abstract readonly serverPrefix: string;
 
-  /** The error says which part is unreadable. */
+  /** The error says which part can't be decoded. */
   abstract decodeConfiguration(
     value: string,
   ): Result<GatewayConfiguration, string>;
 
-  /** `undefined` for a record that names no server to use. */
+  /** Returns `undefined` for a record that describes no usable server. */
   abstract decodeServer(id: string, value: string): ServerRecord | undefined;
 }
--- a/packages/gateway/src/state/start_gate.ts
+++ b/packages/gateway/src/state/start_gate.ts
@@ -1,15 +1,15 @@
 /**
- * Holds the requests that reach a process before it knows what to do with them.
+ * Holds the requests that arrive before a process has its state.
  *
- * Callers connect as soon as a restarted process listens. Refused then, all who
- * had waited for it would spend their only retry.
+ * Callers connect as soon as a restarted process listens. If it refused them,
+ * all callers that waited for the restart would use up their only retry.
  * @module
  */
 
-/** Milliseconds after the start for which requests are held. */
-const LONGEST_HOLD = 1000;
+/** Maximum milliseconds after the start for which requests are held. */
+const MAXIMUM_HOLD_TIME = 1000;
 
-/** Opens once, at {@link StartGate.open} or by time. */
+/** Opens once, by {@link StartGate.open} or after {@link MAXIMUM_HOLD_TIME}. */
 export class StartGate {
   readonly opened: Promise<void>;
   #resolve = () => {};
@@ -19,9 +19,9 @@
     this.opened = new Promise((resolve) => this.#resolve = resolve);
   }
 
-  /** The process takes connections from now on. */
-  started(): void {
-    this.#timer = setTimeout(() => this.open(), LONGEST_HOLD);
+  /** Starts the hold time; called when the process starts listening. */
+  startTimer(): void {
+    this.#timer = setTimeout(() => this.open(), MAXIMUM_HOLD_TIME);
   }
 
   open(): void {
--- a/packages/gateway/src/state/state_listener.ts
+++ b/packages/gateway/src/state/state_listener.ts
@@ -1,29 +1,31 @@
-/** From what a follower reads to what is believed. @module */
+/** A listener to a prefix of the store that is made of callbacks. @module */
 import type { ItemChange, StoredItem } from "@sycamorepulley/store";
 import { PrefixListener } from "./prefix_follower.ts";
 
-/** What to do with what is read. */
-export type ListenerActions = {
-  snapshot: (items: readonly StoredItem[], asOf: number) => void;
-  change: (change: ItemChange) => void;
-  advanced?: (asOf: number, any: boolean) => void;
+/**
+ * Callbacks of a listener; `onBatchEnd` follows each batch, even an empty one.
+ */
+export type ListenerCallbacks = {
+  onSnapshot: (items: readonly StoredItem[], asOf: number) => void;
+  onChange: (change: ItemChange) => void;
+  onBatchEnd?: (asOf: number, hasChanges: boolean) => void;
 };
 
-/** Listens to one prefix of the store. */
+/** Passes what a follower reads on to callbacks. */
 export class StateListener extends PrefixListener {
-  readonly #actions: ListenerActions;
+  readonly #callbacks: ListenerCallbacks;
 
-  constructor(actions: ListenerActions) {
+  constructor(callbacks: ListenerCallbacks) {
     super();
-    this.#actions = actions;
+    this.#callbacks = callbacks;
   }
 
-  override snapshot(items: readonly StoredItem[], asOf: number): void {
-    this.#actions.snapshot(items, asOf);
+  override onSnapshot(items: readonly StoredItem[], asOf: number): void {
+    this.#callbacks.onSnapshot(items, asOf);
   }
 
-  override changes(changes: readonly ItemChange[], asOf: number): void {
-    for (const change of changes) this.#actions.change(change);
-    this.#actions.advanced?.(asOf, changes.length > 0);
+  override onChanges(changes: readonly ItemChange[], asOf: number): void {
+    for (const change of changes) this.#callbacks.onChange(change);
+    this.#callbacks.onBatchEnd?.(asOf, changes.length > 0);
   }
 }
--- a/packages/gateway/src/state/store_contact.ts
+++ b/packages/gateway/src/state/store_contact.ts
@@ -1,9 +1,10 @@
 /**
- * Whether the store answers this process.
+ * Whether the store responds to this process.
  *
- * A call that the store took just before it fell silent is never answered, and a
- * watch is waited for longest of all. So whoever waits for the store is told when
- * it stops answering and when it answers again, and makes its call anew.
+ * A call that the store accepted just before it went silent never gets a
+ * response, and watches wait longest for theirs. So pending calls are notified
+ * when the store stops responding and when it responds again, and are then
+ * repeated.
  * @module
  */
 import type { PlatformError } from "@sycamorepulley/store";
@@ -15,57 +16,57 @@
 /** A call to the store that failed. */
 export type FailedCall = {
   error: PlatformError;
-  /** What was read or followed; empty for calls about the entry's lease. */
+  /**
+   * Prefix that was read or watched; empty for calls about the entry's lease.
+   */
   prefix: string;
-  /** Milliseconds from its sending until it was given up. */
+  /** Milliseconds from the start of the call until it failed. */
   time: number;
 };
 
-/** Hears of every call's end; `now` in milliseconds. */
+/** Notified of the outcome of each call; `now` in milliseconds. */
 export abstract class ContactListener {
   abstract recordStoreResponse(now: number): void;
   abstract recordStoreFailure(): void;
 }
 
-/** See the module. */
+/** Collects the outcomes of all calls to the store. */
 export class StoreContact {
   readonly #log: EventLog;
   readonly #clock: () => number;
   readonly #listeners: ContactListener[] = [];
-  #heardAt: number;
+  #lastResponseAt: number;
   #failing = false;
   #lost = false;
-  #turn = new AbortController();
+  #availabilityChange = new AbortController();
 
   constructor(options: { log: EventLog; clock: () => number }) {
     this.#log = options.log;
     this.#clock = options.clock;
-    this.#heardAt = options.clock();
+    this.#lastResponseAt = options.clock();
   }
 
-  /** Aborted when the store stops answering, and when it answers again. */
-  get turn(): AbortSignal {
-    return this.#turn.signal;
+  /** Aborted when the store stops responding, and when it responds again. */
+  get availabilityChange(): AbortSignal {
+    return this.#availabilityChange.signal;
   }
 
-  listen(listener: ContactListener): void {
+  addListener(listener: ContactListener): void {
     this.#listeners.push(listener);
   }
 
-  /** The store answered a call. */
-  heard(): void {
+  recordStoreResponse(): void {
     const now = this.#clock();
-    this.#heardAt = now;
+    this.#lastResponseAt = now;
     for (const listener of this.#listeners) listener.recordStoreResponse(now);
     if (this.#lost) {
       this.#log.write({ event: "dependency_regained", dependency: "store" });
     }
     this.#lost = false;
-    this.#change(false);
+    this.#setFailing(false);
   }
 
-  /** A call to the store failed. */
-  failed({ error, prefix, time }: FailedCall): void {
+  recordStoreFailure({ error, prefix, time }: FailedCall): void {
     const { step, reason, detail } = error;
     for (const listener of this.#listeners) listener.recordStoreFailure();
     this.#log.write({
@@ -76,8 +77,8 @@
       detail,
       time: Math.round(time),
     });
-    this.#change(true);
-    const silence = this.#clock() - this.#heardAt;
+    this.#setFailing(true);
+    const silence = this.#clock() - this.#lastResponseAt;
     if (this.#lost || silence < LOST_AFTER) return;
     this.#lost = true;
     this.#log.write({
@@ -88,11 +89,11 @@
     });
   }
 
-  #change(failing: boolean): void {
+  #setFailing(failing: boolean): void {
     if (failing === this.#failing) return;
     this.#failing = failing;
-    const ended = this.#turn;
-    this.#turn = new AbortController();
+    const ended = this.#availabilityChange;
+    this.#availabilityChange = new AbortController();
     ended.abort();
   }
 }
--- /dev/null
+++ b/packages/gateway/src/state/store_followers.ts
@@ -0,0 +1,82 @@
+/** Followers of all that a gateway needs from the store. @module */
+import { WatchTimeouts } from "@sycamorepulley/decisions";
+import type { WatchGroup } from "@sycamorepulley/decisions";
+import type { MetadataStore } from "@sycamorepulley/store";
+import type { FleetState } from "./fleet_state.ts";
+import { decodeMember } from "./member_record.ts";
+import { MEMBER_PREFIX } from "./entry_registration.ts";
+import { PrefixFollower } from "./prefix_follower.ts";
+import type { PrefixListener } from "./prefix_follower.ts";
+import type { RecordCodec } from "./record_codec.ts";
+import type { StoreContact } from "./store_contact.ts";
+
+/**
+ * Milliseconds that the store holds a watch of the entry whose turn is first.
+ * Every call has a price. The store reports a change at once; it is noticed as
+ * late as this only if all connections have gone silent.
+ */
+const SHORTEST_WATCH_TIMEOUT = 2000;
+/** The same for the keys of entries, which are also connected directly. */
+const SHORTEST_MEMBER_WATCH_TIMEOUT = 5000;
+
+/**
+ * Follows configuration, backend servers and entries until `signal` is aborted.
+ * Returns the follower of the configuration.
+ */
+export function startStoreFollowers(
+  options: {
+    store: MetadataStore;
+    codec: RecordCodec;
+    state: FleetState;
+    contact: StoreContact;
+    signal: AbortSignal;
+    clock: () => number;
+    /** Connected entries, which pass on what they read. */
+    group: () => WatchGroup;
+  },
+): PrefixFollower {
+  const { store, codec, state, contact, signal, clock, group } = options;
+  const startFollower = (
+    prefix: string,
+    listener: PrefixListener,
+    { shortestTimeout, coalesces }: {
+      shortestTimeout: number;
+      coalesces: boolean;
+    },
+  ) => {
+    const timeouts = new WatchTimeouts(shortestTimeout);
+    const watchTimeout = () => timeouts.nextTimeout(group());
+    const coalescingDelay = () =>
+      coalesces ? timeouts.coalescingDelay(group()) : 0;
+    const followerOptions = {
+      store,
+      prefix,
+      listener,
+      contact,
+      watchTimeout,
+      coalescingDelay,
+      clock,
+    };
+    const follower = new PrefixFollower(followerOptions);
+    void follower.run(signal);
+    return follower;
+  };
+  const configuration = startFollower(
+    codec.configurationKey,
+    state.configurationListener(),
+    { shortestTimeout: SHORTEST_WATCH_TIMEOUT, coalesces: false },
+  );
+  startFollower(codec.serverPrefix, state.serverListener(), {
+    shortestTimeout: SHORTEST_WATCH_TIMEOUT,
+    coalesces: true,
+  });
+  startFollower(
+    MEMBER_PREFIX,
+    state.memberListener(MEMBER_PREFIX, decodeMember),
+    {
+      shortestTimeout: SHORTEST_MEMBER_WATCH_TIMEOUT,
+      coalesces: true,
+    },
+  );
+  return configuration;
+}
--- a/packages/gateway/test/divided_quota_test.ts
+++ b/packages/gateway/test/divided_quota_test.ts
@@ -7,11 +7,13 @@
 
 /** Seconds. */
 const WINDOW = 2;
-/** By the fixture's quota of 1000 a second, its burst of 1000 and its bounds. */
+/**
+ * By the fixture's quota of 1000 a second, its burst of 1000 and its bounds.
+ */
 const ACCEPTED = (WINDOW * 1000 + 1000) * 1.1 + 100;
 const TOKENS = 100;
 
-/** Times at which requests ran. */
+/** Returns a list that collects the times at which requests run. */
 function runsOf(servers: readonly FakeBackendServer[]): number[] {
   const runs: number[] = [];
   for (const server of servers) {
@@ -30,8 +32,8 @@
   return Math.max(...inside) * TOKENS;
 }
 
-/** Sends far more than the quota allows for a while. */
-async function press(entry: Fixture, until: number): Promise<void> {
+/** Sends far more requests than the quota allows until the given time. */
+async function sendExcess(entry: Fixture, until: number): Promise<void> {
   while (performance.now() < until) {
     const headers = { "x-tokens": `${TOKENS - 10},10` };
     void entry.call("/calls/", { headers });
@@ -39,17 +41,23 @@
   }
 }
 
-t.test("an entry that starts while the granting one is not registered adds no quota", async (t) => {
-  // Shares of entries that hear each other in part were counted twice.
+t.test("an entry that starts while the granting entry is unregistered adds no quota", async (t) => {
+  // Guards against counting shares twice while only some entries are linked.
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const views = new Map<string, StoreView>();
   const start = (instance: string, servers?: Fixture["servers"]) => {
-    const view = new StoreView(store);
-    views.set(instance, view);
+    const storeView = new StoreView(store);
+    views.set(instance, storeView);
     const shared = servers === undefined ? {} : { servers };
     const quotaWindow = WINDOW;
-    return Fixture.start({ store, view, instance, quotaWindow, ...shared });
+    return Fixture.start({
+      store,
+      storeView,
+      instance,
+      quotaWindow,
+      ...shared,
+    });
   };
   const first = await start("entry-1");
   const { servers } = first;
@@ -57,19 +65,19 @@
   for (const instance of ["entry-2", "entry-3"]) {
     entries.push(await start(instance, servers));
   }
-  const grouped = () =>
+  const groupChanges = () =>
     entries.at(-1)!.events.filter(({ message }) => message === "group_changed");
-  t.ok(await waitUntil(() => grouped().length > 0));
+  t.ok(await waitUntil(() => groupChanges().length > 0));
   await new Promise((resolve) => setTimeout(resolve, 800));
-  const granting = String(grouped().at(-1)?.context["granting"]);
-  views.get(granting)!.turnedAway = true;
+  const granting = String(groupChanges().at(-1)?.context["granting"]);
+  views.get(granting)!.rejects = true;
   store.remove(`sycamorepulley/entries/${granting}`);
   await new Promise((resolve) => setTimeout(resolve, 200));
   entries.push(await start("entry-4", servers));
   await entries.at(-1)!.waitUntilReady();
   const runs = runsOf(servers);
   const end = performance.now() + 2 * WINDOW * 1000;
-  await Promise.all(entries.map((entry) => press(entry, end)));
+  await Promise.all(entries.map((entry) => sendExcess(entry, end)));
   const most = largestWindow(runs);
   t.ok(most <= ACCEPTED, `${most} tokens, ${ACCEPTED} are accepted`);
   t.ok(most > ACCEPTED * 0.75, `${most} tokens, ${ACCEPTED} are accepted`);
--- a/packages/gateway/test/fixture.ts
+++ b/packages/gateway/test/fixture.ts
@@ -46,7 +46,7 @@
   }
 }
 
-/** A route of tests. */
+/** A route with defaults for tests. */
 export function route(changes: Partial<Route> = {}): Route {
   return {
     name: "calls",
@@ -78,7 +78,7 @@
   }),
 ];
 
-/** The configuration of tests, as stored. */
+/** The test configuration, as stored. */
 export function storedConfiguration(version: number, routes = ROUTES): string {
   return JSON.stringify({
     version,
@@ -100,7 +100,7 @@
   });
 }
 
-/** An answer as a caller sees it; `whole` is false for one that was cut. */
+/** A response as the caller gets it; `complete` is false if it was cut off. */
 export type CallerResponse = {
   status: number;
   headers: IncomingHttpHeaders;
@@ -108,7 +108,7 @@
   complete: boolean;
 };
 
-/** One gateway with its store and two servers. */
+/** One gateway with its store and two backend servers. */
 export class Fixture {
   readonly store: MemoryMetadataStore;
   readonly servers: [FakeBackendServer, FakeBackendServer];
@@ -134,8 +134,8 @@
   static async start(
     options: {
       store?: MemoryMetadataStore;
-      /** What the gateway sees of the store, if not all. */
-      view?: MetadataStore;
+      /** The gateway's access to the store, if restricted. */
+      storeView?: MetadataStore;
       /** Seconds over which quotas are counted. */
       quotaWindow?: number;
       servers?: [FakeBackendServer, FakeBackendServer];
@@ -168,7 +168,7 @@
           quotaSlack: 100,
         },
       },
-      store: options.view ?? store,
+      store: options.storeView ?? store,
       codec: new JsonRecords(),
       headerNames: NAMES,
       sink,
@@ -177,7 +177,7 @@
     return new Fixture(store, servers, gateway, ports, sink.events);
   }
 
-  /** Starts with a configuration in force. */
+  /** Starts with a configuration and waits until the gateway is ready. */
   static async startReady(): Promise<Fixture> {
     const store = new MemoryMetadataStore();
     store.put("configuration", storedConfiguration(1));
@@ -186,8 +186,8 @@
     return fixture;
   }
 
-  /** Starts an entry that the store turns away, and that knows `first`. */
-  static async startTurnedAway(first: Fixture): Promise<Fixture> {
+  /** Starts an entry that can't reach the store and has `first` as its seed. */
+  static async startWithoutStore(first: Fixture): Promise<Fixture> {
     const store = new MemoryMetadataStore();
     store.down = true;
     return await Fixture.start({
@@ -273,7 +273,7 @@
   return servers;
 }
 
-/** A server's record, as stored. */
+/** A backend server's record, as stored. */
 export function storedServer(
   id: string,
   port: number,
--- a/packages/gateway/test/fleet_state_test.ts
+++ b/packages/gateway/test/fleet_state_test.ts
@@ -2,7 +2,7 @@
 import { EventLog } from "../src/mod.ts";
 import { FleetState } from "../src/state/fleet_state.ts";
 import type { Member } from "../src/state/fleet_state.ts";
-import type { RecordCodec } from "../src/state/records.ts";
+import type { RecordCodec } from "../src/state/record_codec.ts";
 import { StoreContact } from "../src/state/store_contact.ts";
 import { RecordingSink } from "./recording_sink.ts";
 
@@ -12,7 +12,7 @@
   return { instance, host: "127.0.0.1", port: 1 };
 }
 
-t.test("a dead entry is not kept alive by being told of again and again", (t) => {
+t.test("a dead entry is reported for 10 s only, unless it is connected", (t) => {
   let now = 0;
   const clock = () => now;
   const log = new EventLog({ instance: "a", sink: new RecordingSink(), clock });
@@ -23,7 +23,7 @@
     log,
     clock,
     contact,
-    changed: () => {},
+    onChange: () => {},
   });
   const listener = state.memberListener(PREFIX, (value) => member(value));
   const items = ["a", "b"].map((name) => ({
@@ -31,16 +31,17 @@
     value: name,
     revision: 1,
   }));
-  listener.snapshot(items, 1);
+  listener.onSnapshot(items, 1);
   const removed = { kind: "removed" as const, key: `${PREFIX}b`, revision: 2 };
-  listener.changes([removed], 2);
-  const named = (heard: string[]) =>
-    state.known(new Set(heard)).map(({ instance }) => instance).sort();
-  t.same(named([]), ["a", "b"]);
+  listener.onChanges([removed], 2);
+  const reported = (connected: string[]) =>
+    state.knownMembers(new Set(connected)).map(({ instance }) => instance)
+      .sort();
+  t.same(reported([]), ["a", "b"]);
   now = 11_000;
-  t.same(named([]), ["a"], "counted no more, and not heard");
-  t.same(named(["b"]), ["a", "b"], "it lives on");
-  t.ok(state.unregistered().has("b"), "its part is left to it");
+  t.same(reported([]), ["a"], "no longer counted, and not connected");
+  t.same(reported(["b"]), ["a", "b"], "still running");
+  t.ok(state.unregistered().has("b"), "a share is still reserved for it");
   now = 700_000;
   t.notOk(state.unregistered().has("b"));
   t.end();
--- a/packages/gateway/test/graceful_stop_test.ts
+++ b/packages/gateway/test/graceful_stop_test.ts
@@ -6,35 +6,40 @@
 import type { RequestHandler } from "../src/request/request_handler.ts";
 import type { ResolvedRequest } from "../src/request/resolve_request.ts";
 
-const LONG = {
+const LONG_STREAM = {
   deadline: 20_000,
   cost: { promptTokens: 6000, outputTokens: 900 },
 } as ResolvedRequest;
 
-t.test("what is sent 3 s after the signal is not taken whole any more", async (t) => {
-  // A long stream was sent 3.000 s after SIGTERM and taken, since the entry looked
-  // at its clock only every 20 ms and its signal had come later than it was sent.
-  // The end of the process cut the stream, which only earlier ones excuse.
+t.test("a long stream sent 3 s after the stop signal is not admitted", async (t) => {
+  // Guards against cutting it off: checks run every 20 ms, signals come late.
   let now = 0;
-  const closing = new DrainAdmission();
+  const drainAdmission = new DrainAdmission();
   const stop = new GracefulStop({
-    front: {
+    frontend: {
       stopListening: () => {},
       closeIdleConnections: () => {},
     } as HttpFrontend,
-    desk: { activeRequests: 1 } as RequestHandler,
-    peers: { anyStaying: () => false } as Peers,
-    closing,
+    requestHandler: { activeRequests: 1 } as RequestHandler,
+    peers: { hasActivePeer: () => false } as Peers,
+    drainAdmission,
     clock: () => now,
     gracePeriod: 8000,
   });
   const finished = stop.finish();
   now = 2500;
   await new Promise((resolve) => setTimeout(resolve, 60));
-  t.equal(closing.latestStartTime(LONG), Infinity, "all is taken at first");
+  t.equal(
+    drainAdmission.latestStartTime(LONG_STREAM),
+    Infinity,
+    "all requests are admitted at first",
+  );
   now = 2850;
   await new Promise((resolve) => setTimeout(resolve, 60));
-  t.ok(closing.latestStartTime(LONG) < now, "a long stream no more");
+  t.ok(
+    drainAdmission.latestStartTime(LONG_STREAM) < now,
+    "a long stream is not admitted any more",
+  );
   now = 8000;
   await finished;
   t.end();
--- a/packages/gateway/test/heartbeats_test.ts
+++ b/packages/gateway/test/heartbeats_test.ts
@@ -3,11 +3,11 @@
 import type {
   Heartbeat,
   PeerLink,
-  PeerStanding,
+  PeerStatus,
 } from "../src/peers/peer_link.ts";
 import { heartbeatKey } from "../src/peers/peer_link.ts";
 
-function standing(changes: Partial<PeerStanding> = {}): PeerStanding {
+function peerStatus(changes: Partial<PeerStatus> = {}): PeerStatus {
   return {
     configurationRevision: 1,
     configurationConfirmed: true,
@@ -23,23 +23,23 @@
 
 /** Records the heartbeats sent over a link. */
 class RecordedLink {
-  heardAt = 0;
+  lastReceivedAt = 0;
   sentAt = 0;
   heartbeatAt = 0;
-  standingReceivedAt = 0;
+  statusReceivedAt = 0;
   interval = 3000;
   heartbeatKey = "";
   probedAt: number | undefined;
-  standing: PeerStanding | undefined;
+  status: PeerStatus | undefined;
   readonly heartbeats: Heartbeat[] = [];
 
-  constructor(peer: PeerStanding) {
-    this.standing = peer;
+  constructor(peer: PeerStatus) {
+    this.status = peer;
   }
 
   sendHeartbeat(heartbeat: Heartbeat, now: number): void {
     this.heartbeats.push(heartbeat);
-    this.heartbeatKey = heartbeatKey(heartbeat.standing, heartbeat.interval);
+    this.heartbeatKey = heartbeatKey(heartbeat.status, heartbeat.interval);
     this.heartbeatAt = this.sentAt = now;
   }
 }
@@ -47,15 +47,15 @@
 /** Creates an entry and `others` peers that all ask the entry "granting". */
 function fleet(others: number) {
   const links = new Map<string, RecordedLink>();
-  links.set("granting", new RecordedLink(standing()));
+  links.set("granting", new RecordedLink(peerStatus()));
   for (let index = 0; index < others; index++) {
-    links.set(`entry-${index}`, new RecordedLink(standing()));
+    links.set(`entry-${index}`, new RecordedLink(peerStatus()));
   }
-  const own = standing();
+  const own = peerStatus();
   const heartbeats = new Heartbeats({
     instance: "own",
     links: links as unknown as ReadonlyMap<string, PeerLink>,
-    standing: () => own,
+    ownStatus: () => own,
   });
   const silent = (name: string, now: number) =>
     heartbeats.isSilent(name, links.get(name) as unknown as PeerLink, now);
@@ -65,7 +65,7 @@
 t.test("the granting entry gets a heartbeat in each round, others round-robin", (t) => {
   const { links, heartbeats } = fleet(20);
   for (let now = 200; now <= 2000; now += 200) {
-    for (const link of links.values()) link.heardAt = now;
+    for (const link of links.values()) link.lastReceivedAt = now;
     heartbeats.round(now);
   }
   t.equal(links.get("granting")!.heartbeats.length, 10);
@@ -110,8 +110,8 @@
 t.test("outdated standings do not confirm a configuration", (t) => {
   const { links, heartbeats } = fleet(2);
   heartbeats.round(200);
-  t.equal(heartbeats.currentStandings(500).length, 3);
-  links.get("granting")!.heardAt = 2000;
-  t.equal(heartbeats.currentStandings(2100).length, 1);
+  t.equal(heartbeats.currentStatuses(500).length, 3);
+  links.get("granting")!.lastReceivedAt = 2000;
+  t.equal(heartbeats.currentStatuses(2100).length, 1);
   t.end();
 });
--- a/packages/gateway/test/lifecycle_test.ts
+++ b/packages/gateway/test/lifecycle_test.ts
@@ -10,7 +10,7 @@
   waitUntil,
 } from "./fixture.ts";
 
-t.test("without a configuration callers are told to come back, not denied", async (t) => {
+t.test("without a configuration callers get 503 with Retry-After", async (t) => {
   const fixture = await Fixture.start();
   t.equal(await fixture.readiness(), 503);
   const seen = await fixture.call("/calls/");
@@ -22,10 +22,8 @@
   await fixture.stop();
 });
 
-t.test("a request that comes while an entry starts is held for a moment", async (t) => {
-  // All entries lost power. Their callers connect as soon as a process listens,
-  // a quarter of a second before it has read its configuration; all were refused
-  // at once, and each had one retry.
+t.test("a request that arrives while an entry starts is held", async (t) => {
+  // Guards against refusing callers, which have one retry, before it is read.
   const fixture = await Fixture.start();
   const seen = fixture.call("/calls/");
   await new Promise((resolve) => setTimeout(resolve, 200));
@@ -34,9 +32,8 @@
   await fixture.stop();
 });
 
-t.test("changed bounds are taken over, an unreadable file isn't", async (t) => {
-  // Operators change what they accept beyond a quota. Until the process was
-  // restarted it went by the old figures, although its log said "reloaded".
+t.test("a reload applies changed bounds and ignores an unreadable file", async (t) => {
+  // Guards against bounds that stay in force although "reloaded" was logged.
   const fixture = await Fixture.startReady();
   const { gateway } = fixture;
   const { settings } = gateway;
@@ -53,7 +50,7 @@
   await fixture.stop();
 });
 
-t.test("a new version is in force at once, through a compaction too", async (t) => {
+t.test("a new version takes effect at once, also after a compaction", async (t) => {
   const fixture = await Fixture.startReady();
   const added = route({ name: "added", prefix: "/added/" });
   fixture.store.put("configuration", storedConfiguration(2, [added]));
@@ -69,7 +66,7 @@
   await fixture.stop();
 });
 
-t.test("a draining server gets nothing more", async (t) => {
+t.test("a draining server receives no more requests", async (t) => {
   const fixture = await Fixture.startReady();
   const [leaving, staying] = fixture.servers;
   fixture.store.put("servers/s0", storedServer("s0", leaving.port, true));
@@ -81,14 +78,13 @@
   await fixture.stop();
 });
 
-t.test("an entry that the store turns away learns from its peer", async (t) => {
-  // The store answers one machine with errors while it serves the others. A key
-  // that is taken away meanwhile must not stay good at that one machine.
+t.test("an entry that the store rejects gets the configuration from its peer", async (t) => {
+  // Guards against a revoked key that stays valid on one machine.
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store, instance: "entry-1" });
   await first.waitUntilReady();
-  const second = await Fixture.startTurnedAway(first);
+  const second = await Fixture.startWithoutStore(first);
   t.ok(await waitUntil(async () => await second.readiness() === 200));
   t.equal((await second.call("/calls/")).status, 200);
   store.put(
@@ -102,7 +98,7 @@
   await Promise.all([first.stop(), second.gateway.stop()]);
 });
 
-t.test("when the granting entry stops, the other grants for itself", async (t) => {
+t.test("when the granting entry stops, the others still get grants", async (t) => {
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const entries = [];
@@ -128,10 +124,8 @@
   await rest[1]!.stop();
 });
 
-t.test("entries that are leaving still count in their group", async (t) => {
-  // All entries are restarted in turn, and several are leaving at once for some
-  // seconds. Left out of the group, each of the others used a quarter of the
-  // quotas and places, and callers within their quota were refused.
+t.test("draining entries still count in their group", async (t) => {
+  // Guards against others using a quarter each of quotas and slots in restarts.
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store, instance: "entry-1" });
@@ -141,7 +135,7 @@
     entries.push(await Fixture.start({ store, instance, servers }));
   }
   await new Promise((resolve) => setTimeout(resolve, 1200));
-  // One writer of the log serves a process: the last one got all lines.
+  // A process has one log writer: the last sink gets all lines.
   const lines = () => entries.flatMap(({ events }) => events);
   const lastChange = (instance: string) =>
     lines().findLast(({ message, context }) =>
@@ -169,12 +163,9 @@
   for (const server of first.servers) server.stop();
 });
 
-t.test("an entry that starts anew uses its share of the quotas at once", async (t) => {
-  // All entries lose power. Each starts while its name is still registered, so
-  // that the others count it, and has not registered itself yet. Taken for one
-  // that the others had dropped, its group used a fifth of its share of quotas,
-  // and 73 requests within their quota were refused in two seconds.
-  class NoLeases extends MemoryMetadataStore {
+t.test("a restarted entry uses its share of the quotas at once", async (t) => {
+  // Guards against using a fifth of it while its old registration still counts.
+  class StoreWithoutLeases extends MemoryMetadataStore {
     override grantLease(): ReturnType<MemoryMetadataStore["grantLease"]> {
       this.down = true;
       const refused = super.grantLease();
@@ -182,7 +173,7 @@
       return refused;
     }
   }
-  const store = new NoLeases();
+  const store = new StoreWithoutLeases();
   store.put("configuration", storedConfiguration(1));
   for (const instance of ["entry-1", "entry-2"]) {
     const member = { instance, host: "127.0.0.1", port: 1 };
@@ -197,8 +188,8 @@
   await fixture.stop();
 });
 
-t.test("entries that can't reach the store deny nobody what it may allow", async (t) => {
-  // A credential added while the store is away is unknown to the whole group.
+t.test("an unknown credential gets 503, not 401, while the store is unreachable", async (t) => {
+  // Guards against denying a credential that was added in the meantime.
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store, instance: "entry-1" });
@@ -222,16 +213,16 @@
   await Promise.all([first.stop(), second.gateway.stop()]);
 });
 
-t.test("after a cut no watch waits before it has caught up", async (t) => {
-  // The store forgot its history and told so only at the end of the next watch.
+t.test("after lost connections the first watch only catches up", async (t) => {
+  // Guards against a late report that the store has compacted its history.
   const waits: number[] = [];
-  class Spied extends MemoryMetadataStore {
+  class SpyStore extends MemoryMetadataStore {
     override watchPrefix(options: WatchPrefixOptions) {
       if (options.prefix === "configuration") waits.push(options.wait);
       return super.watchPrefix(options);
     }
   }
-  const store = new Spied();
+  const store = new SpyStore();
   store.put("configuration", storedConfiguration(1));
   const fixture = await Fixture.start({ store });
   await fixture.waitUntilReady();
--- a/packages/gateway/test/recording_sink.ts
+++ b/packages/gateway/test/recording_sink.ts
@@ -1,9 +1,9 @@
 import { LineSink } from "../src/mod.ts";
 
-/** A logged event: its name and its inputs. */
+/** A logged event: its name and its fields. */
 export type LoggedEvent = { message: string; context: Record<string, unknown> };
 
-/** Keeps all lines; a process has one log, so the last one made gets them. */
+/** Records all lines; a process has one log, so the newest sink gets them. */
 export class RecordingSink extends LineSink {
   readonly events: LoggedEvent[] = [];
 
--- a/packages/gateway/test/server_limit_test.ts
+++ b/packages/gateway/test/server_limit_test.ts
@@ -4,16 +4,18 @@
 import { writeSealedHead } from "./fake_backend_server.ts";
 import type { FakeBackendServer } from "./fake_backend_server.ts";
 
-/** Requests a second that the server states. */
+/** Requests per second that the server states. */
 const LIMIT = 4;
-/** Milliseconds of a window, and what is accepted in one. */
+/** Window in milliseconds, and the requests accepted in one. */
 const WINDOW = 2000;
 const ACCEPTED = 1.5 * LIMIT * WINDOW / 1000 + 5;
-/** Milliseconds from the first word until it binds. */
+/** Milliseconds from the first stated limit until it has to be kept. */
 const GRACE = 500;
 
-/** Times at which a server that states `limit` was sent requests. */
-function limited(server: FakeBackendServer, limit: () => string): number[] {
+/**
+ * Lets a server state `limit`; returns the times of requests as they arrive.
+ */
+function stateLimit(server: FakeBackendServer, limit: () => string): number[] {
   const sent: number[] = [];
   server.respond = (response, received) => {
     sent.push(performance.now());
@@ -25,14 +27,17 @@
 }
 
 function largestWindow(sent: readonly number[]): number {
-  const binding = sent.filter((at) => at > sent[0]! + GRACE);
-  const inside = binding.map((from) =>
-    binding.filter((at) => at >= from && at < from + WINDOW).length
+  const counted = sent.filter((at) => at > sent[0]! + GRACE);
+  const inside = counted.map((from) =>
+    counted.filter((at) => at >= from && at < from + WINDOW).length
   );
   return Math.max(0, ...inside);
 }
 
-async function press(entries: readonly Fixture[], time: number): Promise<void> {
+async function sendExcess(
+  entries: readonly Fixture[],
+  time: number,
+): Promise<void> {
   const end = performance.now() + time;
   while (performance.now() < end) {
     for (const entry of entries) void entry.call("/calls/");
@@ -40,7 +45,7 @@
   }
 }
 
-t.test("a server that states a limit is sent no more by all entries", async (t) => {
+t.test("all entries together keep the limit that a server states", async (t) => {
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store });
@@ -48,8 +53,8 @@
   const second = await Fixture.start({ store, servers, instance: "entry-2" });
   const entries = [first, second];
   for (const entry of entries) await entry.waitUntilReady();
-  const sent = servers.map((server) => limited(server, () => String(LIMIT)));
-  await press(entries, 2 * WINDOW + GRACE);
+  const sent = servers.map((server) => stateLimit(server, () => String(LIMIT)));
+  await sendExcess(entries, 2 * WINDOW + GRACE);
   for (const most of sent.map(largestWindow)) {
     t.ok(most <= ACCEPTED, `${most} requests, ${ACCEPTED} are accepted`);
     t.ok(most > LIMIT, `${most} requests`);
@@ -67,7 +72,7 @@
   await first.stop();
 });
 
-t.test("a limit holds when the entry that grants is lost", async (t) => {
+t.test("a limit is kept when the granting entry is lost", async (t) => {
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store });
@@ -77,15 +82,15 @@
     entries.push(await Fixture.start({ store, servers, instance }));
   }
   for (const entry of entries) await entry.waitUntilReady();
-  const sent = servers.map((server) => limited(server, () => String(LIMIT)));
-  await press(entries, WINDOW);
+  const sent = servers.map((server) => stateLimit(server, () => String(LIMIT)));
+  await sendExcess(entries, WINDOW);
   const last = entries.at(-1)!.events
     .findLast(({ message }) => message === "group_changed");
   const names = ["entry-1", "entry-2", "entry-3"];
   const lost = names.indexOf(String(last?.context["granting"]));
   const [granting] = entries.splice(lost, 1);
   const stopping = granting!.gateway.stop();
-  await press(entries, WINDOW);
+  await sendExcess(entries, WINDOW);
   for (const most of sent.map(largestWindow)) {
     t.ok(most <= ACCEPTED, `${most} requests, ${ACCEPTED} are accepted`);
     t.ok(most > LIMIT, `${most} requests`);
--- a/packages/gateway/test/thin_link.ts
+++ b/packages/gateway/test/slow_link.ts
@@ -2,13 +2,13 @@
 import type { AddressInfo, Server, Socket } from "node:net";
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** Bytes that are on their way on one connection at most. */
+/** Maximum bytes in transit on one connection. */
 const WINDOW = 64 * 1024;
 
-/** Relays connections to one port; all that goes there shares its bandwidth. */
-export class ThinLink {
-  /** Bytes that reached the other end. */
-  relayed = 0;
+/** Relays connections to one port, with one bandwidth for all of them. */
+export class SlowLink {
+  /** Bytes relayed to the port. */
+  relayedBytes = 0;
   readonly #bytesPerSecond: number;
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
@@ -48,16 +48,18 @@
       if (next === undefined || next.done) return;
       for (let from = 0; from < next.value.length; from += WINDOW) {
         const part = next.value.subarray(from, from + WINDOW);
-        await this.#turn(part.length);
+        await this.#waitForBandwidth(part.length);
         if (!far.writable) return;
         far.write(part);
-        this.relayed += part.length;
+        this.relayedBytes += part.length;
       }
     }
   }
 
-  /** Waits until so many bytes have passed after those before them. */
-  async #turn(bytes: number): Promise<void> {
+  /**
+   * Waits until the link has transmitted these bytes after all earlier ones.
+   */
+  async #waitForBandwidth(bytes: number): Promise<void> {
     const now = performance.now();
     this.#freeAt = Math.max(now, this.#freeAt) +
       bytes / this.#bytesPerSecond * 1000;
--- a/packages/gateway/test/state_lines_test.ts
+++ b/packages/gateway/test/state_log_test.ts
@@ -2,7 +2,7 @@
 import t from "tap";
 import { Fixture, storedConfiguration, waitUntil } from "./fixture.ts";
 
-t.test("a grant's line says whose quota is charged, and how much", async (t) => {
+t.test("a grant's log line names the charged organisation and the charge", async (t) => {
   const fixture = await Fixture.startReady();
   await fixture.call("/calls/", { headers: { "x-tokens": "90,10" } });
   const line = fixture.events.find(({ message }) => message === "granted");
@@ -10,12 +10,12 @@
   await fixture.stop();
 });
 
-t.test("lines tell of calls to the store that failed, and of state asked for", async (t) => {
+t.test("log lines report failed store calls and state that was requested", async (t) => {
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store, instance: "entry-1" });
   await first.waitUntilReady();
-  const second = await Fixture.startTurnedAway(first);
+  const second = await Fixture.startWithoutStore(first);
   t.ok(await waitUntil(async () => await second.readiness() === 200));
   const lines = (name: string) =>
     second.events.filter(({ message }) => message === name)
--- a/packages/gateway/test/state_transfer_test.ts
+++ b/packages/gateway/test/state_transfer_test.ts
@@ -1,7 +1,7 @@
 import { MemoryMetadataStore } from "@sycamorepulley/store";
 import t from "tap";
 import { Fixture, route, storedConfiguration, waitUntil } from "./fixture.ts";
-import { ThinLink } from "./thin_link.ts";
+import { SlowLink } from "./slow_link.ts";
 
 const LARGE = Array.from(
   { length: 4000 },
@@ -9,8 +9,8 @@
     route({ name: `route-${index}`, prefix: `/large-${index * 7919}/` }),
 );
 
-t.test("an entry on a thin link is sent one copy of a newer configuration", async (t) => {
-  // Every heartbeat of a newer version asked for all of it, of each peer.
+t.test("an entry on a slow link is sent one copy of a newer configuration", async (t) => {
+  // Guards against requesting it in full from each peer at every heartbeat.
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store, instance: "entry-1" });
@@ -26,7 +26,7 @@
     servers,
     instance: "entry-9",
   });
-  const link = new ThinLink(900_000, () => behind.ports.peers);
+  const link = new SlowLink(900_000, () => behind.ports.peers);
   const member = {
     instance: "entry-9",
     host: "127.0.0.1",
@@ -39,14 +39,14 @@
       message === "dependency_lost" && context["dependency"] !== "store"
     ).length;
   const lostBefore = lost();
-  const before = link.relayed;
+  const before = link.relayedBytes;
   const large = storedConfiguration(2, LARGE);
   store.put("configuration", large);
   const path = "/large-0/";
   t.ok(await waitUntil(async () => (await behind.call(path)).status === 200));
-  // What was sent beside it is on its way still.
+  // Anything else that was sent is still in transit.
   await new Promise((resolve) => setTimeout(resolve, 1000));
-  const copies = (link.relayed - before) / large.length;
+  const copies = (link.relayedBytes - before) / large.length;
   t.ok(copies < 1.5, `${copies.toFixed(2)} copies`);
   t.equal(lost() - lostBefore, 0, "links to peers that were lost meanwhile");
   await Promise.all([...entries, behind].map(({ gateway }) => gateway.stop()));
--- a/packages/gateway/test/stop_test.ts
+++ b/packages/gateway/test/stop_test.ts
@@ -8,9 +8,8 @@
   writeSealedHead,
 } from "./fake_backend_server.ts";
 
-t.test("a stop cuts no stream, and takes nothing on its connection after", async (t) => {
-  // A connection whose answer began before the stop was not told to close. Kept,
-  // it took a request 7 s after SIGTERM, which the end of the process then cut.
+t.test("a stop lets a stream end, then closes its connection", async (t) => {
+  // Guards against a late request on it, cut off by the end of the process.
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (response, received) => {
@@ -33,21 +32,17 @@
   t.equal(
     late.headers.connection,
     "close",
-    "still answered, and told to close",
+    "served, with a header to close the connection",
   );
   await ended;
   t.match(text, "piece 2");
-  t.match(text, /0\r\n\r\n$/, "the stream is whole");
+  t.match(text, /0\r\n\r\n$/, "the stream is complete");
   await stopped;
   for (const server of fixture.servers) server.stop();
 });
 
-t.test("a stop takes no request on a connection whose stream has ended", async (t) => {
-  // A stream began before the stop, so its answer could not tell its caller to
-  // close the connection. The caller sends its next request on it as the stream
-  // ends. Taken then, that request has too little time left, and the end of the
-  // process cuts it; passed on over a connection that is half closed, it runs and
-  // its answer has nowhere to go.
+t.test("after a stop no request is accepted on a connection whose stream ended", async (t) => {
+  // Guards against a request that is cut off, or whose response can't be sent.
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (response, received) => {
@@ -87,11 +82,8 @@
   for (const server of fixture.servers) server.stop();
 });
 
-t.test("entries that all stop go on listening, and take what ends in time", async (t) => {
-  // All entries are restarted one after the other. Each closed its listener and
-  // lived on for its longest stream, so that for seconds callers found nobody to
-  // connect to: 1,168 tries of one day. Now a short call is served, and what may
-  // not end before the process does is told truly that it has not run.
+t.test("a stopping entry keeps listening, and accepts what ends in time", async (t) => {
+  // Guards against restarts in turn after which no entry listens for seconds.
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (response, received) => {
@@ -109,8 +101,11 @@
   );
   const stopped = fixture.gateway.stop();
   await new Promise((resolve) => setTimeout(resolve, 1050));
-  const soon = { "x-time-left": "150" };
-  t.equal((await fixture.call("/once/", { headers: soon })).status, 200);
+  const shortDeadline = { "x-time-left": "150" };
+  t.equal(
+    (await fixture.call("/once/", { headers: shortDeadline })).status,
+    200,
+  );
   const refused = await fixture.call("/stream/short", { method: "POST" });
   t.equal(refused.status, 503);
   t.match(refused.body, "stopping");
@@ -126,9 +121,8 @@
   for (const server of fixture.servers) server.stop();
 });
 
-t.test("an entry that stops while another takes callers ends with its streams", async (t) => {
-  // Nobody needs it any more. Listening on to the end of its grace period, it was
-  // back seconds later than it could be.
+t.test("a stopping entry ends with its streams if another accepts callers", async (t) => {
+  // Guards against restarts that are delayed by the whole grace period.
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store, instance: "entry-1" });
--- a/packages/gateway/test/store_view.ts
+++ b/packages/gateway/test/store_view.ts
@@ -5,11 +5,11 @@
   WatchPrefixOptions,
 } from "@sycamorepulley/store";
 
-/** One entry's way to a store of tests that others use as well. */
+/** One entry's access to a test store that other entries use as well. */
 export class StoreView extends MetadataStore {
   readonly #store: MemoryMetadataStore;
-  /** While true the store turns this entry away. */
-  turnedAway = false;
+  /** While true, the store rejects all calls of this entry. */
+  rejects = false;
 
   constructor(store: MemoryMetadataStore) {
     super();
@@ -24,8 +24,8 @@
     const watch = (options: WatchPrefixOptions) =>
       this.#call(() => this.#store.watchPrefix(options));
     const batch = await watch(options);
-    // What changed while it waited is not told to an entry that is turned away.
-    return this.turnedAway ? await watch({ ...options, wait: 0 }) : batch;
+    // A rejected entry must not see what changed during its watch.
+    return this.rejects ? await watch({ ...options, wait: 0 }) : batch;
   }
 
   override transact(transaction: Transaction) {
@@ -44,9 +44,9 @@
     return this.#call(() => this.#store.endLease(lease));
   }
 
-  /** Calls the store, which is down for the call's time if it turns away. */
+  /** Makes one call; the store is down during it if it rejects the entry. */
   #call<Outcome>(call: () => Outcome): Outcome {
-    this.#store.down = this.turnedAway;
+    this.#store.down = this.rejects;
     const outcome = call();
     this.#store.down = false;
     return outcome;
--- a/packages/gateway/test/watch_rest_test.ts
+++ b/packages/gateway/test/watch_coalescing_test.ts
@@ -21,11 +21,11 @@
 class KeyListener extends PrefixListener {
   readonly keys = new Set<string>();
 
-  override snapshot(items: readonly { key: string }[]): void {
+  override onSnapshot(items: readonly { key: string }[]): void {
     for (const { key } of items) this.keys.add(key);
   }
 
-  override changes(changes: readonly ItemChange[]): void {
+  override onChanges(changes: readonly ItemChange[]): void {
     for (const change of changes) {
       if (change.kind === "written") this.keys.add(change.item.key);
     }
@@ -50,7 +50,7 @@
     prefix: "entries/",
     listener,
     contact: new StoreContact({ log, clock }),
-    wait: () => 2000,
+    watchTimeout: () => 2000,
     coalescingDelay: () => delay,
     clock,
   });
