--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -115,7 +115,7 @@
       log,
       clock,
       contact: this.#storeContact,
-      onChange: (what) => this.#handleStateChange(what),
+      onChange: (kind) => this.#handleStateChange(kind),
     });
     this.#connectionPool = new ConnectionPool(clock);
     this.#grantClient = new GrantClient({
@@ -357,9 +357,9 @@
     return activeConfiguration !== undefined && serversKnown && membersKnown;
   }
 
-  #handleStateChange(what: "configuration" | "servers" | "members"): void {
+  #handleStateChange(kind: "configuration" | "servers" | "members"): void {
     if (this.#isStateLoaded()) this.#startGate.open();
-    if (what === "configuration") {
+    if (kind === "configuration") {
       const activeConfiguration = this.#fleetState.activeConfiguration!;
       this.#frontend.applyLimits(activeConfiguration.configuration.limits);
       this.#grantClient.setQuotas(activeConfiguration.quotas);
@@ -370,7 +370,7 @@
         this.#fleetState.publishedConfiguration.revision,
       );
       this.#peers.announce("grantPeers");
-    } else if (what === "servers") {
+    } else if (kind === "servers") {
       this.#refreshServers();
     } else {
       this.#entryStatus.updateGroup();
--- a/packages/gateway/src/peers/messages.ts
+++ b/packages/gateway/src/peers/messages.ts
@@ -80,7 +80,7 @@
   v.object({
     type: v.literal("heartbeat"),
     configurationRevision: count,
-    /** The sender got that revision from the store, which still answers it. */
+    /** The store confirmed that revision to the sender; no call failed since. */
     configurationConfirmed: v.optional(v.boolean(), false),
     serverRevision: count,
     /** The sender is draining. */
--- a/packages/gateway/src/peers/peer_link.ts
+++ b/packages/gateway/src/peers/peer_link.ts
@@ -11,9 +11,10 @@
 /** Status that a peer announces in its heartbeats. */
 export type PeerStatus = {
   configurationRevision: number;
-  /** The peer got that revision from the store, which still answers it. */
+  /** The store confirmed that revision to the peer; no call failed since. */
   configurationConfirmed: boolean;
   serverRevision: number;
+  /** The peer is draining. */
   leaving: boolean;
   /** The peer's granting entry. */
   asks: string;
--- a/packages/gateway/src/peers/peers.ts
+++ b/packages/gateway/src/peers/peers.ts
@@ -21,7 +21,9 @@
 
 /** Another entry as a member of the group. */
 export type PeerEntry = GrantCandidate & {
+  /** It is draining. */
   leaving: boolean;
+  /** The other entries certainly count it with its full share. */
   listed: boolean;
   /** Its granting entry; undefined before its first heartbeat. */
   asks: string | undefined;
@@ -307,15 +309,19 @@
   /**
    * If both sides dialled, both keep the link that the first by name opened.
    */
-  #resolveDuplicate(instance: string, before: PeerLink, link: PeerLink): void {
-    const first = this.#instance < instance;
-    const kept = link.dialled === first ? link : before;
-    const other = kept === link ? before : link;
+  #resolveDuplicate(
+    instance: string,
+    existing: PeerLink,
+    link: PeerLink,
+  ): void {
+    const ownNameFirst = this.#instance < instance;
+    const kept = link.dialled === ownNameFirst ? link : existing;
+    const closed = kept === link ? existing : link;
     this.#links.set(instance, kept);
-    kept.status ??= other.status;
-    other.instance = undefined;
-    other.close("second link");
-    if (kept === before) return;
+    kept.status ??= closed.status;
+    closed.instance = undefined;
+    closed.close("second link");
+    if (kept === existing) return;
     // Messages in transit over the closed link are lost with it.
     this.#events.onPeerLost(instance);
     this.#events.onPeerConnected(instance);
--- a/packages/gateway/src/peers/shared_server_limits.ts
+++ b/packages/gateway/src/peers/shared_server_limits.ts
@@ -43,16 +43,16 @@
     value: string | string[] | undefined,
     sentAt: number,
   ): void {
-    const stated = parseServerLimit(value);
-    if (stated.isErr) {
+    const parsed = parseServerLimit(value);
+    if (parsed.isErr) {
       this.#log.write({
         event: "server_limit_unreadable",
         server,
-        value: stated.error,
+        value: parsed.error,
       });
       return;
     }
-    const perSecond = stated.value;
+    const perSecond = parsed.value;
     const observedAt = perSecond === undefined ? sentAt : this.#clock();
     const observation = { perSecond, by: this.#instance, observedAt };
     if (this.#record(server, observation)) {
--- a/packages/gateway/src/peers/state_documents.ts
+++ b/packages/gateway/src/peers/state_documents.ts
@@ -10,7 +10,7 @@
 const decompress = promisify(gunzip);
 
 /**
- * Size of a part in bytes; a heartbeat waits until at most one part is sent.
+ * Size of a part in bytes; a heartbeat waits for at most one part to be sent.
  */
 const PART_BYTES = 32 * 1024;
 /** Maximum decompressed size of a state from a peer, in bytes. */
--- a/packages/gateway/src/state/entry_registration.ts
+++ b/packages/gateway/src/state/entry_registration.ts
@@ -66,10 +66,10 @@
     const member: Member = { instance: this.#instance, ...address };
     const { signal } = this.#stopController;
     while (!signal.aborted) {
-      const kept = this.#registered
+      const succeeded = this.#registered
         ? await this.#renew()
         : await this.#register(member);
-      const duration = kept ? RENEWAL_INTERVAL : RETRY_DELAY;
+      const duration = succeeded ? RENEWAL_INTERVAL : RETRY_DELAY;
       await pause(duration, signal, this.#contact.availabilityChange);
     }
   }
--- a/packages/gateway/src/state/fleet_state.ts
+++ b/packages/gateway/src/state/fleet_state.ts
@@ -25,7 +25,7 @@
 
 /** Called on every change of the state. */
 export type StateChanged = (
-  what: "configuration" | "servers" | "members",
+  kind: "configuration" | "servers" | "members",
 ) => void;
 
 export class FleetState {
@@ -165,7 +165,7 @@
     );
   }
 
-  /** The part of {@link knownMembers} that is not registered in the store. */
+  /** Those of {@link knownMembers} that are not registered in the store. */
   knownUnregisteredMembers(connected: ReadonlySet<string>): KnownMember[] {
     return this.knownMembers(connected)
       .filter(({ instance }) => !this.members.has(instance));
--- a/packages/gateway/test/heartbeats_test.ts
+++ b/packages/gateway/test/heartbeats_test.ts
@@ -44,7 +44,7 @@
   }
 }
 
-/** Creates an entry and `others` peers that all ask the entry "granting". */
+/** Creates an entry and `others` peers with the granting entry "granting". */
 function fleet(others: number) {
   const links = new Map<string, RecordedLink>();
   links.set("granting", new RecordedLink(peerStatus()));
--- a/packages/gateway/test/lifecycle_test.ts
+++ b/packages/gateway/test/lifecycle_test.ts
@@ -13,9 +13,9 @@
 t.test("without a configuration callers get 503 with Retry-After", async (t) => {
   const fixture = await Fixture.start();
   t.equal(await fixture.readiness(), 503);
-  const seen = await fixture.call("/calls/");
-  t.equal(seen.status, 503);
-  t.ok(Number(seen.headers["retry-after"]) > 0);
+  const response = await fixture.call("/calls/");
+  t.equal(response.status, 503);
+  t.ok(Number(response.headers["retry-after"]) > 0);
   fixture.store.put("configuration", storedConfiguration(1));
   t.ok(await waitUntil(async () => await fixture.readiness() === 200));
   t.equal((await fixture.call("/calls/")).status, 200);
@@ -23,12 +23,12 @@
 });
 
 t.test("a request that arrives while an entry starts is held", async (t) => {
-  // Guards against refusing callers, which have one retry, before it is read.
+  // Guards against refusing callers, which have one retry, during the start.
   const fixture = await Fixture.start();
-  const seen = fixture.call("/calls/");
+  const response = fixture.call("/calls/");
   await new Promise((resolve) => setTimeout(resolve, 200));
   fixture.store.put("configuration", storedConfiguration(1));
-  t.equal((await seen).status, 200);
+  t.equal((await response).status, 200);
   await fixture.stop();
 });
 
@@ -68,13 +68,13 @@
 
 t.test("a draining server receives no more requests", async (t) => {
   const fixture = await Fixture.startReady();
-  const [leaving, staying] = fixture.servers;
-  fixture.store.put("servers/s0", storedServer("s0", leaving.port, true));
+  const [draining, active] = fixture.servers;
+  fixture.store.put("servers/s0", storedServer("s0", draining.port, true));
   await new Promise((resolve) => setTimeout(resolve, 100));
-  const before = leaving.receivedRequests.length;
+  const before = draining.receivedRequests.length;
   for (let count = 0; count < 6; count++) await fixture.call("/calls/");
-  t.equal(leaving.receivedRequests.length, before);
-  t.equal(staying.receivedRequests.length, 6);
+  t.equal(draining.receivedRequests.length, before);
+  t.equal(active.receivedRequests.length, 6);
   await fixture.stop();
 });
 
@@ -125,7 +125,7 @@
 });
 
 t.test("draining entries still count in their group", async (t) => {
-  // Guards against others using a quarter each of quotas and slots in restarts.
+  // If left out, each of the others uses only a quarter of quotas and slots.
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store, instance: "entry-1" });
@@ -151,12 +151,12 @@
   for (const other of names.filter((other) => other !== name)) {
     t.match(lastChange(other), { size: 3 });
   }
-  const whole = () =>
+  const grantsAll = () =>
     lines().slice(before).some(({ message, context }) =>
       message === "load" && context["instance"] !== name &&
       context["room"] === 1 && context["quota"] === 1
     );
-  t.ok(await waitUntil(whole));
+  t.ok(await waitUntil(grantsAll));
   t.notOk(lines().some(({ message }) => message === "stopped"));
   await stopped;
   for (const entry of others) await entry.gateway.stop();
@@ -200,25 +200,25 @@
       context["dependency"] === "entry entry-2"
     );
   t.ok(await waitUntil(linked));
-  const denied = async () => {
+  const statusOfUnknownCredential = async () => {
     const headers = { "x-credential": "added later" };
     return (await first.call("/calls/", { headers })).status;
   };
-  t.equal(await denied(), 401);
+  t.equal(await statusOfUnknownCredential(), 401);
   store.down = true;
-  t.ok(await waitUntil(async () => await denied() === 503));
+  t.ok(await waitUntil(async () => await statusOfUnknownCredential() === 503));
   t.equal((await first.call("/calls/")).status, 200);
   store.down = false;
-  t.ok(await waitUntil(async () => await denied() === 401));
+  t.ok(await waitUntil(async () => await statusOfUnknownCredential() === 401));
   await Promise.all([first.stop(), second.gateway.stop()]);
 });
 
 t.test("after lost connections the first watch only catches up", async (t) => {
   // Guards against a late report that the store has compacted its history.
-  const waits: number[] = [];
+  const timeouts: number[] = [];
   class SpyStore extends MemoryMetadataStore {
     override watchPrefix(options: WatchPrefixOptions) {
-      if (options.prefix === "configuration") waits.push(options.wait);
+      if (options.prefix === "configuration") timeouts.push(options.wait);
       return super.watchPrefix(options);
     }
   }
@@ -234,11 +234,11 @@
   );
   store.compact();
   store.deaf = false;
-  const before = waits.length;
+  const before = timeouts.length;
   store.cut();
   const served = async () => (await fixture.call("/new/")).status === 200;
   t.ok(await waitUntil(served));
-  const [first = Infinity] = waits.slice(before);
+  const [first = Infinity] = timeouts.slice(before);
   t.ok(first < 100, `the first watch waits ${first} ms`);
   await fixture.stop();
 });
--- a/packages/gateway/test/stop_test.ts
+++ b/packages/gateway/test/stop_test.ts
@@ -74,16 +74,15 @@
   t.ok(sentAgain);
   await stopped;
   t.ok((await other).complete);
-  const targets = fixture.servers.flatMap(({ receivedRequests: received }) =>
-    received
-  )
-    .map(({ target }) => target);
+  const targets = fixture.servers.flatMap(({ receivedRequests }) =>
+    receivedRequests
+  ).map(({ target }) => target);
   t.same(targets.sort(), ["/stream/first", "/stream/other"]);
   for (const server of fixture.servers) server.stop();
 });
 
 t.test("a stopping entry keeps listening, and accepts what ends in time", async (t) => {
-  // Guards against restarts in turn after which no entry listens for seconds.
+  // Guards against restarts during which no entry listens for seconds.
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (response, received) => {
@@ -97,7 +96,7 @@
   }
   const long = fixture.call("/stream/long", { method: "POST" });
   await waitUntil(() =>
-    fixture.servers.some(({ receivedRequests: received }) => received.length)
+    fixture.servers.some(({ receivedRequests }) => receivedRequests.length)
   );
   const stopped = fixture.gateway.stop();
   await new Promise((resolve) => setTimeout(resolve, 1050));
@@ -113,10 +112,9 @@
   t.equal(refused.headers.connection, "close");
   t.ok((await long).complete);
   await stopped;
-  const targets = fixture.servers.flatMap(({ receivedRequests: received }) =>
-    received
-  )
-    .map(({ target }) => target);
+  const targets = fixture.servers.flatMap(({ receivedRequests }) =>
+    receivedRequests
+  ).map(({ target }) => target);
   t.same(targets.sort(), ["/once/", "/stream/long"]);
   for (const server of fixture.servers) server.stop();
 });
@@ -137,7 +135,7 @@
   await new Promise((resolve) => setTimeout(resolve, 1000));
   const long = first.call("/stream/long", { method: "POST" });
   await waitUntil(() =>
-    servers.some(({ receivedRequests: received }) => received.length)
+    servers.some(({ receivedRequests }) => receivedRequests.length)
   );
   let stopped = false;
   void first.gateway.stop().then(() => stopped = true);
