--- a/packages/gateway/src/mod.ts
+++ b/packages/gateway/src/mod.ts
@@ -10,6 +10,6 @@
   CallerLimits,
   GatewayConfiguration,
   Organisation,
-  ServiceLimits,
+  ServiceProperties,
 } from "./state/gateway_configuration.ts";
 export { RecordCodec } from "./state/record_codec.ts";
--- a/packages/gateway/src/state/gateway_configuration.ts
+++ b/packages/gateway/src/state/gateway_configuration.ts
@@ -11,7 +11,7 @@
 };
 
 /** Properties of a service's backend servers. */
-export type ServiceLimits = {
+export type ServiceProperties = {
   /** Connections accepted from all entries together. */
   connections: number;
   /** Tokens in one event of a stream. */
@@ -35,7 +35,7 @@
 export type GatewayConfiguration = {
   version: number;
   routes: readonly Route[];
-  services: ReadonlyMap<string, ServiceLimits>;
+  services: ReadonlyMap<string, ServiceProperties>;
   limits: CallerLimits;
   /** If empty, no credentials are required. */
   organisations: readonly Organisation[];
--- a/packages/gateway/test/fleet_state_test.ts
+++ b/packages/gateway/test/fleet_state_test.ts
@@ -13,6 +13,7 @@
 }
 
 t.test("a dead entry is reported for 10 s only, unless it is connected", (t) => {
+  // Guards against entries that report a dead one to each other for ever.
   let now = 0;
   const clock = () => now;
   const log = new EventLog({ instance: "a", sink: new RecordingSink(), clock });
