--- a/packages/gateway/test/lifecycle_test.ts
+++ b/packages/gateway/test/lifecycle_test.ts
@@ -10,33 +10,30 @@
   waitUntil,
 } from "./fixture.ts";
 
-t.test("without a configuration callers are told to come back, not denied", async (t) => {
+t.test("without a configuration callers get 503 with Retry-After", async (t) => {
   const fixture = await Fixture.start();
   t.equal(await fixture.readiness(), 503);
-  const seen = await fixture.call("/calls/");
-  t.equal(seen.status, 503);
-  t.ok(Number(seen.headers["retry-after"]) > 0);
+  const response = await fixture.call("/calls/");
+  t.equal(response.status, 503);
+  t.ok(Number(response.headers["retry-after"]) > 0);
   fixture.store.put("configuration", storedConfiguration(1));
   t.ok(await waitUntil(async () => await fixture.readiness() === 200));
   t.equal((await fixture.call("/calls/")).status, 200);
   await fixture.stop();
 });
 
-t.test("a request that comes while an entry starts is held for a moment", async (t) => {
-  // All entries lost power. Their callers connect as soon as a process listens,
-  // a quarter of a second before it has read its configuration; all were refused
-  // at once, and each had one retry.
+t.test("a request that arrives while an entry starts is held", async (t) => {
+  // Guards against refusing callers, which have one retry, during the start.
   const fixture = await Fixture.start();
-  const seen = fixture.call("/calls/");
+  const response = fixture.call("/calls/");
   await new Promise((resolve) => setTimeout(resolve, 200));
   fixture.store.put("configuration", storedConfiguration(1));
-  t.equal((await seen).status, 200);
+  t.equal((await response).status, 200);
   await fixture.stop();
 });
 
-t.test("changed bounds are taken over, an unreadable file isn't", async (t) => {
-  // Operators change what they accept beyond a quota. Until the process was
-  // restarted it went by the old figures, although its log said "reloaded".
+t.test("a reload applies changed bounds and ignores an unreadable file", async (t) => {
+  // Guards against bounds that stay in force although "reloaded" was logged.
   const fixture = await Fixture.startReady();
   const { gateway } = fixture;
   const { settings } = gateway;
@@ -53,7 +50,7 @@
   await fixture.stop();
 });
 
-t.test("a new version is in force at once, through a compaction too", async (t) => {
+t.test("a new version takes effect at once, also after a compaction", async (t) => {
   const fixture = await Fixture.startReady();
   const added = route({ name: "added", prefix: "/added/" });
   fixture.store.put("configuration", storedConfiguration(2, [added]));
@@ -69,26 +66,25 @@
   await fixture.stop();
 });
 
-t.test("a draining server gets nothing more", async (t) => {
+t.test("a draining server receives no more requests", async (t) => {
   const fixture = await Fixture.startReady();
-  const [leaving, staying] = fixture.servers;
-  fixture.store.put("servers/s0", storedServer("s0", leaving.port, true));
+  const [draining, active] = fixture.servers;
+  fixture.store.put("servers/s0", storedServer("s0", draining.port, true));
   await new Promise((resolve) => setTimeout(resolve, 100));
-  const before = leaving.receivedRequests.length;
+  const before = draining.receivedRequests.length;
   for (let count = 0; count < 6; count++) await fixture.call("/calls/");
-  t.equal(leaving.receivedRequests.length, before);
-  t.equal(staying.receivedRequests.length, 6);
+  t.equal(draining.receivedRequests.length, before);
+  t.equal(active.receivedRequests.length, 6);
   await fixture.stop();
 });
 
-t.test("an entry that the store turns away learns from its peer", async (t) => {
-  // The store answers one machine with errors while it serves the others. A key
-  // that is taken away meanwhile must not stay good at that one machine.
+t.test("an entry that the store rejects gets the configuration from its peer", async (t) => {
+  // Guards against a revoked key that stays valid on one machine.
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store, instance: "entry-1" });
   await first.waitUntilReady();
-  const second = await Fixture.startTurnedAway(first);
+  const second = await Fixture.startWithoutStore(first);
   t.ok(await waitUntil(async () => await second.readiness() === 200));
   t.equal((await second.call("/calls/")).status, 200);
   store.put(
@@ -102,7 +98,7 @@
   await Promise.all([first.stop(), second.gateway.stop()]);
 });
 
-t.test("when the granting entry stops, the other grants for itself", async (t) => {
+t.test("when the granting entry stops, the others still get grants", async (t) => {
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const entries = [];
@@ -128,10 +124,8 @@
   await rest[1]!.stop();
 });
 
-t.test("entries that are leaving still count in their group", async (t) => {
-  // All entries are restarted in turn, and several are leaving at once for some
-  // seconds. Left out of the group, each of the others used a quarter of the
-  // quotas and places, and callers within their quota were refused.
+t.test("draining entries still count in their group", async (t) => {
+  // If left out, each of the others uses only a quarter of quotas and slots.
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store, instance: "entry-1" });
@@ -141,7 +135,7 @@
     entries.push(await Fixture.start({ store, instance, servers }));
   }
   await new Promise((resolve) => setTimeout(resolve, 1200));
-  // One writer of the log serves a process: the last one got all lines.
+  // A process has one log writer: the last sink gets all lines.
   const lines = () => entries.flatMap(({ events }) => events);
   const lastChange = (instance: string) =>
     lines().findLast(({ message, context }) =>
@@ -157,24 +151,21 @@
   for (const other of names.filter((other) => other !== name)) {
     t.match(lastChange(other), { size: 3 });
   }
-  const whole = () =>
+  const grantsAll = () =>
     lines().slice(before).some(({ message, context }) =>
       message === "load" && context["instance"] !== name &&
       context["room"] === 1 && context["quota"] === 1
     );
-  t.ok(await waitUntil(whole));
+  t.ok(await waitUntil(grantsAll));
   t.notOk(lines().some(({ message }) => message === "stopped"));
   await stopped;
   for (const entry of others) await entry.gateway.stop();
   for (const server of first.servers) server.stop();
 });
 
-t.test("an entry that starts anew uses its share of the quotas at once", async (t) => {
-  // All entries lose power. Each starts while its name is still registered, so
-  // that the others count it, and has not registered itself yet. Taken for one
-  // that the others had dropped, its group used a fifth of its share of quotas,
-  // and 73 requests within their quota were refused in two seconds.
-  class NoLeases extends MemoryMetadataStore {
+t.test("a restarted entry uses its share of the quotas at once", async (t) => {
+  // Guards against using a fifth of it while its old registration still counts.
+  class StoreWithoutLeases extends MemoryMetadataStore {
     override grantLease(): ReturnType<MemoryMetadataStore["grantLease"]> {
       this.down = true;
       const refused = super.grantLease();
@@ -182,7 +173,7 @@
       return refused;
     }
   }
-  const store = new NoLeases();
+  const store = new StoreWithoutLeases();
   store.put("configuration", storedConfiguration(1));
   for (const instance of ["entry-1", "entry-2"]) {
     const member = { instance, host: "127.0.0.1", port: 1 };
@@ -197,8 +188,8 @@
   await fixture.stop();
 });
 
-t.test("entries that can't reach the store deny nobody what it may allow", async (t) => {
-  // A credential added while the store is away is unknown to the whole group.
+t.test("an unknown credential gets 503, not 401, while the store is unreachable", async (t) => {
+  // Guards against denying a credential that was added in the meantime.
   const store = new MemoryMetadataStore();
   store.put("configuration", storedConfiguration(1));
   const first = await Fixture.start({ store, instance: "entry-1" });
@@ -209,29 +200,29 @@
       context["dependency"] === "entry entry-2"
     );
   t.ok(await waitUntil(linked));
-  const denied = async () => {
+  const statusOfUnknownCredential = async () => {
     const headers = { "x-credential": "added later" };
     return (await first.call("/calls/", { headers })).status;
   };
-  t.equal(await denied(), 401);
+  t.equal(await statusOfUnknownCredential(), 401);
   store.down = true;
-  t.ok(await waitUntil(async () => await denied() === 503));
+  t.ok(await waitUntil(async () => await statusOfUnknownCredential() === 503));
   t.equal((await first.call("/calls/")).status, 200);
   store.down = false;
-  t.ok(await waitUntil(async () => await denied() === 401));
+  t.ok(await waitUntil(async () => await statusOfUnknownCredential() === 401));
   await Promise.all([first.stop(), second.gateway.stop()]);
 });
 
-t.test("after a cut no watch waits before it has caught up", async (t) => {
-  // The store forgot its history and told so only at the end of the next watch.
-  const waits: number[] = [];
-  class Spied extends MemoryMetadataStore {
+t.test("after lost connections the first watch only catches up", async (t) => {
+  // Guards against a late report that the store has compacted its history.
+  const timeouts: number[] = [];
+  class SpyStore extends MemoryMetadataStore {
     override watchPrefix(options: WatchPrefixOptions) {
-      if (options.prefix === "configuration") waits.push(options.wait);
+      if (options.prefix === "configuration") timeouts.push(options.wait);
       return super.watchPrefix(options);
     }
   }
-  const store = new Spied();
+  const store = new SpyStore();
   store.put("configuration", storedConfiguration(1));
   const fixture = await Fixture.start({ store });
   await fixture.waitUntilReady();
@@ -243,11 +234,11 @@
   );
   store.compact();
   store.deaf = false;
-  const before = waits.length;
+  const before = timeouts.length;
   store.cut();
   const served = async () => (await fixture.call("/new/")).status === 200;
   t.ok(await waitUntil(served));
-  const [first = Infinity] = waits.slice(before);
+  const [first = Infinity] = timeouts.slice(before);
   t.ok(first < 100, `the first watch waits ${first} ms`);
   await fixture.stop();
 });
