--- a/packages/gateway/src/backend/channel.ts
+++ b/packages/gateway/src/backend/backend_connection.ts
@@ -25,33 +25,33 @@
 };
 
 /** Status and headers of an answer; names are lower case. */
-export type AnswerHead = {
+export type ResponseHead = {
   status: number;
   headers: Record<string, string | string[] | undefined>;
 };
 
 /** Hears one answer; after `ended` or `failed` nothing more comes. */
-export abstract class AnswerListener {
-  abstract head(head: AnswerHead): void;
-  abstract data(chunk: Buffer): void;
+export abstract class ResponseListener {
+  abstract onHead(head: ResponseHead): void;
+  abstract onData(chunk: Buffer): void;
   /** The answer is whole as far as its framing tells. */
-  abstract ended(): void;
-  abstract failed(detail: string): void;
+  abstract onEnd(): void;
+  abstract onError(detail: string): void;
 }
 
 /** Time a server holds an idle connection open, if it does not say, in ms. */
-const UNSTATED_IDLE = 1000;
+const DEFAULT_IDLE_TIMEOUT = 1000;
 /** Milliseconds off the stated time: an answer and a request may cross. */
 const IDLE_MARGIN = 1000;
 
 /** See the module. */
-export class Channel {
+export class BackendConnection {
   readonly #socket: Socket;
   readonly #client: Client;
   #closed = false;
-  #reset = false;
+  #wasReset = false;
   #idleSince: number;
-  #idleLimit = UNSTATED_IDLE;
+  #idleTimeout = DEFAULT_IDLE_TIMEOUT;
 
   private constructor(socket: Socket, now: number) {
     this.#socket = socket;
@@ -60,10 +60,10 @@
     // undici takes a reset for the end of an answer that has no length; such an
     // answer would look whole, and isn't. This listener hears the reset first.
     socket.on("error", () => {
-      this.#reset = true;
+      this.#wasReset = true;
       socket.destroy();
     });
-    let handedOut = false;
+    let socketUsed = false;
     this.#client = new Client(`http://${socket.remoteAddress}`, {
       pipelining: 1,
       headersTimeout: 0,
@@ -72,11 +72,11 @@
       maxHeaderSize: 64 * 1024,
       connect: (_options, callback) => {
         // A client reconnects by itself; a request must never follow it there.
-        if (handedOut || this.#closed) {
+        if (socketUsed || this.#closed) {
           callback(new Error("the connection is closed"), null);
           return;
         }
-        handedOut = true;
+        socketUsed = true;
         // The client expects a connection later, never within its own call.
         queueMicrotask(() => callback(null, socket));
       },
@@ -87,7 +87,7 @@
   /** Connects within `timeout` milliseconds. */
   static open(
     options: { host: string; port: number; timeout: number; now: number },
-  ): Promise<Result<Channel, ConnectFailure>> {
+  ): Promise<Result<BackendConnection, ConnectFailure>> {
     const { host, port, timeout, now } = options;
     return new Promise((resolve) => {
       const socket = connect({ host, port, noDelay: true });
@@ -101,23 +101,23 @@
       socket.once("connect", () => {
         socket.setTimeout(0);
         socket.off("error", refused);
-        resolve(Result.ok(new Channel(socket, now)));
+        resolve(Result.ok(new BackendConnection(socket, now)));
       });
     });
   }
 
   /** False when the server may be closing it; `strict` leaves a wide margin. */
-  usable(now: number, strict: boolean): boolean {
+  isUsable(now: number, strict: boolean): boolean {
     if (this.#closed || this.#socket.destroyed) return false;
     const idle = now - this.#idleSince;
-    return idle < (strict ? this.#idleLimit / 4 : this.#idleLimit);
+    return idle < (strict ? this.#idleTimeout / 4 : this.#idleTimeout);
   }
 
   /** Sends one request; the result aborts it, which closes the connection. */
-  send(request: BackendRequest, listener: AnswerListener): () => void {
-    const handler = new Handler(listener, {
-      learn: (headers) => this.#learnIdle(headers),
-      cut: () => this.#reset,
+  send(request: BackendRequest, listener: ResponseListener): () => void {
+    const handler = new ResponseHandler(listener, {
+      onHeaders: (headers) => this.#readIdleTimeout(headers),
+      cut: () => this.#wasReset,
     });
     this.#client.dispatch({
       method: request.method as Dispatcher.HttpMethod,
@@ -127,13 +127,13 @@
       idempotent: false,
     }, handler);
     return () => {
-      handler.silence();
+      handler.detach();
       this.close();
     };
   }
 
   /** States that the last answer is over, whole, at `now`. */
-  rest(now: number): void {
+  markIdle(now: number): void {
     this.#idleSince = now;
   }
 
@@ -143,39 +143,39 @@
     this.#socket.destroy();
   }
 
-  #learnIdle(headers: AnswerHead["headers"]): void {
+  #readIdleTimeout(headers: ResponseHead["headers"]): void {
     if (String(headers.connection ?? "").toLowerCase() === "close") {
-      this.#idleLimit = 0;
+      this.#idleTimeout = 0;
       return;
     }
     const stated = /timeout=(\d+)/.exec(String(headers["keep-alive"] ?? ""))
       ?.[1];
     if (stated === undefined) return;
-    this.#idleLimit = Math.max(0, Number(stated) * 1000 - IDLE_MARGIN);
+    this.#idleTimeout = Math.max(0, Number(stated) * 1000 - IDLE_MARGIN);
   }
 }
 
 /** What the handler of an answer needs of its connection. */
-type HandlerChannel = {
-  learn: (headers: AnswerHead["headers"]) => void;
+type ConnectionHooks = {
+  onHeaders: (headers: ResponseHead["headers"]) => void;
   /** True if the connection ended before the answer; asked at its end. */
   cut: () => boolean;
 };
 
-class Handler implements Dispatcher.DispatchHandler {
-  readonly #listener: AnswerListener;
-  readonly #channel: HandlerChannel;
+class ResponseHandler implements Dispatcher.DispatchHandler {
+  readonly #listener: ResponseListener;
+  readonly #channel: ConnectionHooks;
   #over = false;
 
   constructor(
-    listener: AnswerListener,
-    channel: HandlerChannel,
+    listener: ResponseListener,
+    channel: ConnectionHooks,
   ) {
     this.#listener = listener;
     this.#channel = channel;
   }
 
-  silence(): void {
+  detach(): void {
     this.#over = true;
   }
 
@@ -184,25 +184,25 @@
   onResponseStart(
     _controller: Dispatcher.DispatchController,
     status: number,
-    headers: AnswerHead["headers"],
+    headers: ResponseHead["headers"],
   ): void {
     if (this.#over || status < 200) return;
-    this.#channel.learn(headers);
-    this.#listener.head({ status, headers });
+    this.#channel.onHeaders(headers);
+    this.#listener.onHead({ status, headers });
   }
 
   onResponseData(
     _controller: Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
-    if (!this.#over) this.#listener.data(chunk);
+    if (!this.#over) this.#listener.onData(chunk);
   }
 
   onResponseEnd(): void {
     if (this.#over) return;
     this.#over = true;
-    if (this.#channel.cut()) this.#listener.failed("cut");
-    else this.#listener.ended();
+    if (this.#channel.cut()) this.#listener.onError("cut");
+    else this.#listener.onEnd();
   }
 
   onResponseError(
@@ -211,6 +211,6 @@
   ): void {
     if (this.#over) return;
     this.#over = true;
-    this.#listener.failed(error.message);
+    this.#listener.onError(error.message);
   }
 }
--- a/packages/gateway/src/backend/connection_pool.ts
+++ b/packages/gateway/src/backend/connection_pool.ts
@@ -2,8 +2,8 @@
 import type { ServerRecord } from "@sycamorepulley/decisions";
 import { incarnationOf } from "@sycamorepulley/decisions";
 import { Result } from "true-myth/result";
-import { Channel } from "./channel.ts";
-import type { ConnectFailure } from "./channel.ts";
+import { BackendConnection } from "./backend_connection.ts";
+import type { ConnectFailure } from "./backend_connection.ts";
 
 /**
  * Milliseconds until an unanswered connect counts as failed. Data centres are
@@ -14,7 +14,7 @@
 
 /** Keeps connections for the next request. */
 export class ConnectionPool {
-  readonly #idle = new Map<string, Channel[]>();
+  readonly #idle = new Map<string, BackendConnection[]>();
   readonly #clock: () => number;
 
   constructor(clock: () => number) {
@@ -26,18 +26,18 @@
    * request may not be repeated, so a connection that the server could be
    * closing at this moment is not used.
    */
-  async take(
+  async acquire(
     server: ServerRecord,
     strict: boolean,
-  ): Promise<Result<Channel, ConnectFailure>> {
+  ): Promise<Result<BackendConnection, ConnectFailure>> {
     const idle = this.#idle.get(incarnationOf(server)) ?? [];
     for (;;) {
       const channel = idle.pop();
       if (channel === undefined) break;
-      if (channel.usable(this.#clock(), strict)) return Result.ok(channel);
+      if (channel.isUsable(this.#clock(), strict)) return Result.ok(channel);
       channel.close();
     }
-    return await Channel.open({
+    return await BackendConnection.open({
       host: server.host,
       port: server.port,
       timeout: CONNECT_TIMEOUT,
@@ -46,12 +46,12 @@
   }
 
   /** Keeps a connection whose last answer was whole. */
-  give(server: ServerRecord, channel: Channel): void {
+  release(server: ServerRecord, channel: BackendConnection): void {
     const now = this.#clock();
-    channel.rest(now);
+    channel.markIdle(now);
     const name = incarnationOf(server);
     const idle = this.#idle.get(name) ?? [];
-    if (idle.length >= server.slots || !channel.usable(now, false)) {
+    if (idle.length >= server.slots || !channel.isUsable(now, false)) {
       channel.close();
       return;
     }
@@ -65,7 +65,7 @@
     const known = new Set(servers.map(incarnationOf));
     for (const [name, idle] of this.#idle) {
       const kept = idle.filter((channel) =>
-        known.has(name) && channel.usable(now, false)
+        known.has(name) && channel.isUsable(now, false)
       );
       for (const channel of idle) {
         if (!kept.includes(channel)) channel.close();
--- a/packages/gateway/src/front/forwarded_headers.ts
+++ b/packages/gateway/src/front/forwarded_headers.ts
@@ -2,7 +2,7 @@
 import { CONNECTION_HEADERS } from "@sycamorepulley/protocol";
 
 /** A body's length is stated anew by whoever sends it on. */
-const DROPPED: ReadonlySet<string> = new Set([
+const NEVER_FORWARDED: ReadonlySet<string> = new Set([
   ...CONNECTION_HEADERS,
   "content-length",
 ]);
@@ -14,23 +14,23 @@
  */
 export function forwardedHeaders(
   raw: readonly string[],
-  dropped: ReadonlySet<string>,
-  kept: ReadonlySet<string>,
+  droppedHeaders: ReadonlySet<string>,
+  protectedHeaders: ReadonlySet<string>,
 ): string[] {
-  const named = namedByConnection(raw);
+  const named = connectionOptions(raw);
   const forwarded: string[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
     const name = raw[index]!;
     const lower = name.toLowerCase();
-    if (DROPPED.has(lower) || dropped.has(lower)) continue;
-    if (named.has(lower) && !kept.has(lower)) continue;
+    if (NEVER_FORWARDED.has(lower) || droppedHeaders.has(lower)) continue;
+    if (named.has(lower) && !protectedHeaders.has(lower)) continue;
     forwarded.push(name, raw[index + 1]!);
   }
   return forwarded;
 }
 
 /** The headers of an answer that go to the caller. */
-export function answerHeaders(
+export function responseHeaders(
   headers: Record<string, string | string[] | undefined>,
 ): Record<string, string | string[]> {
   const named = new Set(
@@ -39,13 +39,13 @@
   const kept: Record<string, string | string[]> = {};
   for (const [name, value] of Object.entries(headers)) {
     if (value === undefined || named.has(name)) continue;
-    if (DROPPED.has(name)) continue;
+    if (NEVER_FORWARDED.has(name)) continue;
     kept[name] = value;
   }
   return kept;
 }
 
-function namedByConnection(raw: readonly string[]): Set<string> {
+function connectionOptions(raw: readonly string[]): Set<string> {
   const named = new Set<string>();
   for (let index = 0; index + 1 < raw.length; index += 2) {
     if (raw[index]!.toLowerCase() !== "connection") continue;
--- a/packages/gateway/src/front/http_frontend.ts
+++ b/packages/gateway/src/front/http_frontend.ts
@@ -12,14 +12,14 @@
  */
 const IDLE_MARGIN = 3000;
 /** Milliseconds between checks of connections that are slow to send a request. */
-const CHECK_EVERY = 500;
+const CONNECTION_CHECK_INTERVAL = 500;
 /** Largest head that is read at all; the configured bound is checked after. */
-const LARGEST_HEAD = 64 * 1024;
+const MAX_HEAD_BYTES = 64 * 1024;
 /** Milliseconds for a whole body: callers' longest deadline. */
-const BODY_TIMEOUT = 15_000;
+const REQUEST_TIMEOUT = 15_000;
 
 /** Serves one request to its end. */
-export type ServeRequest = (
+export type HandleRequest = (
   request: IncomingMessage,
   response: ServerResponse,
 ) => void;
@@ -28,21 +28,21 @@
 export class HttpFrontend {
   readonly #server: Server;
   /** Connections that this side has ended and the caller not yet. */
-  readonly #ended = new WeakSet<Socket>();
-  #closing = false;
+  readonly #endedConnections = new WeakSet<Socket>();
+  #draining = false;
 
-  constructor(serve: ServeRequest) {
+  constructor(serve: HandleRequest) {
     this.#server = createServer(
       {
-        maxHeaderSize: LARGEST_HEAD,
-        connectionsCheckingInterval: CHECK_EVERY,
-        requestTimeout: BODY_TIMEOUT,
+        maxHeaderSize: MAX_HEAD_BYTES,
+        connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL,
+        requestTimeout: REQUEST_TIMEOUT,
         noDelay: true,
       },
       (request, response) => {
         response.sendDate = false;
-        if (this.#closing) response.setHeader("connection", "close");
-        if (this.#ended.has(request.socket)) {
+        if (this.#draining) response.setHeader("connection", "close");
+        if (this.#endedConnections.has(request.socket)) {
           // It crossed the end of its connection. Passed on, it would run, and
           // its answer would have nowhere to go.
           request.socket.destroy();
@@ -51,7 +51,7 @@
         // An answer that began before the stop did not say so: its connection
         // would be kept, and a request on it taken when no time is left for it.
         response.once("finish", () => {
-          if (this.#closing) this.#end(request.socket);
+          if (this.#draining) this.#endConnection(request.socket);
         });
         serve(request, response);
       },
@@ -70,7 +70,7 @@
 
   /** Answers ask connections to end; new connections are still taken. */
   startDraining(): void {
-    this.#closing = true;
+    this.#draining = true;
   }
 
   /** Takes no connection any more and ends those that are idle. */
@@ -89,8 +89,8 @@
     this.#server.closeAllConnections();
   }
 
-  #end(socket: Socket): void {
-    this.#ended.add(socket);
+  #endConnection(socket: Socket): void {
+    this.#endedConnections.add(socket);
     socket.end();
   }
 }
--- a/packages/gateway/src/front/parsed_request.ts
+++ b/packages/gateway/src/front/parsed_request.ts
@@ -5,33 +5,33 @@
 import type { HeaderNames } from "./header_names.ts";
 
 /** See the fields. Times are milliseconds. */
-export type Call = {
+export type ParsedRequest = {
   /** The caller's name for this try. */
-  request: string;
+  requestId: string;
   method: string;
   target: string;
   host: string;
   credential: string | undefined;
   /** What it states of its size. */
-  tokens: Cost | undefined;
+  statedTokens: Cost | undefined;
   /** Tokens that it expects its answer to have. */
-  expectedTokens: number | undefined;
+  expectedOutputTokens: number | undefined;
   /** How long the caller waits from its sending. */
-  timeLeft: number | undefined;
+  remainingTime: number | undefined;
   /** Headers to hand on, names and values in turn. */
-  headers: string[];
-  arrived: number;
+  forwardedHeaders: string[];
+  arrivedAt: number;
 };
 
 /** Reads callers' requests by one platform's names. */
 export class RequestParser {
   readonly #names: HeaderNames;
-  readonly #dropped: ReadonlySet<string>;
-  readonly #kept: ReadonlySet<string>;
+  readonly #droppedHeaders: ReadonlySet<string>;
+  readonly #protectedHeaders: ReadonlySet<string>;
 
   constructor(names: HeaderNames) {
     this.#names = names;
-    this.#dropped = new Set(
+    this.#droppedHeaders = new Set(
       [
         ...names.reserved,
         names.credential,
@@ -40,45 +40,50 @@
         names.remainingTime,
       ].map((name) => name.toLowerCase()),
     );
-    this.#kept = new Set(
+    this.#protectedHeaders = new Set(
       [names.requestId, names.tokenUsage, names.lastEventId, "host"]
         .map((name) => name.toLowerCase()),
     );
   }
 
-  parse(message: IncomingMessage, now: number): Call {
+  parse(message: IncomingMessage, now: number): ParsedRequest {
     const names = this.#names;
     return {
-      request: valueOf(message, names.requestId) ?? "",
+      requestId: headerValue(message, names.requestId) ?? "",
       method: message.method ?? "GET",
       target: message.url ?? "/",
       host: message.headers.host ?? "",
-      credential: valueOf(message, names.credential),
-      tokens: tokensOf(valueOf(message, names.tokenUsage)),
-      expectedTokens: positive(valueOf(message, names.expectedOutputTokens)),
-      timeLeft: positive(valueOf(message, names.remainingTime)),
-      headers: forwardedHeaders(
+      credential: headerValue(message, names.credential),
+      statedTokens: parseTokenUsage(headerValue(message, names.tokenUsage)),
+      expectedOutputTokens: parsePositive(
+        headerValue(message, names.expectedOutputTokens),
+      ),
+      remainingTime: parsePositive(headerValue(message, names.remainingTime)),
+      forwardedHeaders: forwardedHeaders(
         message.rawHeaders,
-        this.#dropped,
-        this.#kept,
+        this.#droppedHeaders,
+        this.#protectedHeaders,
       ),
-      arrived: now,
+      arrivedAt: now,
     };
   }
 }
 
-function valueOf(message: IncomingMessage, name: string): string | undefined {
+function headerValue(
+  message: IncomingMessage,
+  name: string,
+): string | undefined {
   const value = message.headers[name.toLowerCase()];
   return Array.isArray(value) ? value[0] : value;
 }
 
-function positive(value: string | undefined): number | undefined {
+function parsePositive(value: string | undefined): number | undefined {
   if (value === undefined) return undefined;
   const number = Number(value);
   return Number.isFinite(number) && number > 0 ? number : undefined;
 }
 
-function tokensOf(value: string | undefined): Cost | undefined {
+function parseTokenUsage(value: string | undefined): Cost | undefined {
   const parts = value?.split(",").map(Number) ?? [];
   const [promptTokens, outputTokens] = parts;
   if (promptTokens === undefined || outputTokens === undefined) {
--- a/packages/gateway/src/observe/event_log.ts
+++ b/packages/gateway/src/observe/event_log.ts
@@ -12,9 +12,9 @@
 import type { LogEvent } from "./events.ts";
 
 /** Most lines of one kind of event in a second; others are counted. */
-const LINES_PER_SECOND = 100;
+const MAX_LINES_PER_SECOND = 100;
 /** Most bytes that wait for a slow reader. */
-const LARGEST_BUFFER = 256 * 1024;
+const MAX_BUFFERED_LENGTH = 256 * 1024;
 const STANDARD_OUTPUT = 1;
 
 /** Where whole lines go. */
@@ -25,22 +25,22 @@
 
 /** Standard output, one asynchronous write at a time. */
 export class StandardOutputSink extends LineSink {
-  #waiting: string[] = [];
+  #queued: string[] = [];
   #bytes = 0;
   #writing = false;
 
   override push(line: string): boolean {
-    if (this.#bytes + line.length > LARGEST_BUFFER) return false;
-    this.#waiting.push(line);
+    if (this.#bytes + line.length > MAX_BUFFERED_LENGTH) return false;
+    this.#queued.push(line);
     this.#bytes += line.length;
     if (!this.#writing) this.#flush();
     return true;
   }
 
   #flush(): void {
-    if (this.#waiting.length === 0) return;
-    const text = this.#waiting.join("\n") + "\n";
-    this.#waiting = [];
+    if (this.#queued.length === 0) return;
+    const text = this.#queued.join("\n") + "\n";
+    this.#queued = [];
     this.#writing = true;
     this.#write(Buffer.from(text), 0);
   }
@@ -52,18 +52,18 @@
       from,
       bytes.length - from,
       null,
-      (error, n) => {
+      (error, written) => {
         if (error?.code === "EAGAIN") {
           setTimeout(() => this.#write(bytes, from), 20).unref();
           return;
         }
-        if (error === null && from + n < bytes.length) {
-          this.#write(bytes, from + n);
+        if (error === null && from + written < bytes.length) {
+          this.#write(bytes, from + written);
           return;
         }
         // Nobody can be told that the output itself is gone.
         this.#writing = false;
-        this.#bytes = this.#waiting.reduce((sum, line) => sum + line.length, 0);
+        this.#bytes = this.#queued.reduce((sum, line) => sum + line.length, 0);
         this.#flush();
       },
     );
@@ -89,21 +89,21 @@
   }
 
   write(event: LogEvent): void {
-    if (!this.#allowed(event.event)) return;
-    this.#sayOmitted();
-    this.#line(event);
+    if (!this.#isAllowed(event.event)) return;
+    this.#logOmitted();
+    this.#writeLine(event);
   }
 
-  #line(event: LogEvent): void {
+  #writeLine(event: LogEvent): void {
     const { event: name, ...context } = event;
     this.#logger.info(context as Record<string, string | number>, name);
   }
 
   #push(line: string): void {
-    if (!this.#sink.push(line)) this.#omit("all");
+    if (!this.#sink.push(line)) this.#countOmitted("all");
   }
 
-  #allowed(name: string): boolean {
+  #isAllowed(name: string): boolean {
     const now = this.#clock();
     const budget = this.#budgets.get(name);
     if (budget === undefined || now - budget.since >= 1000) {
@@ -111,17 +111,17 @@
       return true;
     }
     budget.lines++;
-    if (budget.lines <= LINES_PER_SECOND) return true;
-    this.#omit(name);
+    if (budget.lines <= MAX_LINES_PER_SECOND) return true;
+    this.#countOmitted(name);
     return false;
   }
 
-  #omit(name: string): void {
+  #countOmitted(name: string): void {
     this.#omitted.set(name, (this.#omitted.get(name) ?? 0) + 1);
   }
 
   /** States what was left out, once a second's budget begins anew. */
-  #sayOmitted(): void {
+  #logOmitted(): void {
     if (this.#omitted.size === 0) return;
     const now = this.#clock();
     // A copy: a line that finds no room is counted here again, and the loop over
@@ -130,7 +130,7 @@
       const budget = this.#budgets.get(of);
       if (budget !== undefined && now - budget.since < 1000) continue;
       this.#omitted.delete(of);
-      this.#line({ event: "omitted", of, lines });
+      this.#writeLine({ event: "omitted", of, lines });
     }
   }
 }
--- a/packages/gateway/src/observe/load_report.ts
+++ b/packages/gateway/src/observe/load_report.ts
@@ -35,7 +35,8 @@
 
   /** Brings the gauges up to date. */
   updateGauges(): void {
-    const { waiting, running } = this.#metrics;
+    const { waitingRequests: waiting, runningRequests: running } =
+      this.#metrics;
     for (const load of this.#granter.loads()) {
       const { service } = load;
       waiting.set({ service }, load.waiting);
--- a/packages/gateway/src/observe/metrics.ts
+++ b/packages/gateway/src/observe/metrics.ts
@@ -12,7 +12,7 @@
     "service",
     "route",
   ]);
-  readonly answers = this.#counter("answers_total", "Whole answers sent on", [
+  readonly responses = this.#counter("answers_total", "Whole answers sent on", [
     "service",
     "status",
   ]);
@@ -34,12 +34,20 @@
     "Dependencies lost and regained",
     ["dependency", "change"],
   );
-  readonly waiting = this.#gauge("waiting", "Requests waiting for a grant", [
-    "service",
-  ]);
-  readonly running = this.#gauge("running", "Requests at backend servers", [
-    "service",
-  ]);
+  readonly waitingRequests = this.#gauge(
+    "waiting",
+    "Requests waiting for a grant",
+    [
+      "service",
+    ],
+  );
+  readonly runningRequests = this.#gauge(
+    "running",
+    "Requests at backend servers",
+    [
+      "service",
+    ],
+  );
   readonly serverLimit = this.#gauge(
     "server_limit_per_second",
     "Requests a second that a backend server states",
@@ -55,12 +63,12 @@
     "Version of the configuration in force",
     [],
   );
-  readonly waited = this.#histogram("waited_seconds", "Time until a grant");
-  readonly firstByte = this.#histogram(
+  readonly grantWait = this.#histogram("waited_seconds", "Time until a grant");
+  readonly timeToFirstByte = this.#histogram(
     "first_byte_seconds",
     "Time until the answer's first byte",
   );
-  readonly whole = this.#histogram(
+  readonly timeToLastByte = this.#histogram(
     "whole_seconds",
     "Time until the answer's end",
   );
--- a/packages/gateway/src/request/caller.ts
+++ b/packages/gateway/src/request/caller_connection.ts
@@ -1,58 +1,58 @@
 /** The caller's side of one request: its body, its leaving, its answer. @module */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { Result } from "true-myth/result";
-import type { AnswerHead } from "../backend/channel.ts";
-import { answerHeaders } from "../front/forwarded_headers.ts";
-import { reply } from "./reply.ts";
-import type { ReplyReason } from "./reply.ts";
+import type { ResponseHead } from "../backend/backend_connection.ts";
+import { responseHeaders } from "../front/forwarded_headers.ts";
+import { sendErrorResponse } from "./error_response.ts";
+import type { ErrorReason } from "./error_response.ts";
 
 /** Writes at most one answer; knows when the caller has left. */
-export class Caller {
+export class CallerConnection {
   readonly #request: IncomingMessage;
   readonly #response: ServerResponse;
-  #onLeft = () => {};
-  #left = false;
-  #unframed = false;
+  #onDisconnect = () => {};
+  #disconnected = false;
+  #closeDelimited = false;
 
   constructor(request: IncomingMessage, response: ServerResponse) {
     this.#request = request;
     this.#response = response;
-    const left = () => this.#leave();
+    const disconnect = () => this.#handleDisconnect();
     // The socket tells at once; the request's own events come only while its
     // body is read.
-    request.socket.once("end", left);
-    request.socket.once("close", left);
+    request.socket.once("end", disconnect);
+    request.socket.once("close", disconnect);
     response.once("close", () => {
-      request.socket.off("end", left);
-      request.socket.off("close", left);
-      if (!response.writableFinished) this.#leave();
+      request.socket.off("end", disconnect);
+      request.socket.off("close", disconnect);
+      if (!response.writableFinished) this.#handleDisconnect();
     });
   }
 
   /** Calls `action` when the caller leaves, once. */
-  onLeft(action: () => void): void {
-    this.#onLeft = action;
+  onDisconnect(action: () => void): void {
+    this.#onDisconnect = action;
   }
 
-  get left(): boolean {
-    return this.#left;
+  get disconnected(): boolean {
+    return this.#disconnected;
   }
 
   /** True once a part of a server's answer was passed on. */
-  get begun(): boolean {
+  get responseStarted(): boolean {
     return this.#response.headersSent;
   }
 
   /** The whole body, or `undefined` if it is longer than `largest` bytes. */
-  body(
-    largest: number,
+  readBody(
+    maxBytes: number,
   ): Promise<Result<Buffer | undefined, "too_large" | "cut">> {
     return new Promise((resolve) => {
       const chunks: Buffer[] = [];
       let size = 0;
       this.#request.on("data", (chunk: Buffer) => {
         size += chunk.length;
-        if (size <= largest) chunks.push(chunk);
+        if (size <= maxBytes) chunks.push(chunk);
         else resolve(Result.err("too_large"));
       });
       this.#request.once("end", () => {
@@ -64,17 +64,17 @@
     });
   }
 
-  refuse(status: number, reason: ReplyReason, retryAfter?: number): void {
-    if (this.#left || this.begun) return;
-    reply(this.#response, status, reason, retryAfter);
+  sendError(status: number, reason: ErrorReason, retryAfter?: number): void {
+    if (this.#disconnected || this.responseStarted) return;
+    sendErrorResponse(this.#response, status, reason, retryAfter);
   }
 
   /** Passes a whole answer on. */
-  answer(head: AnswerHead, body: Buffer): void {
-    if (this.#left) return;
-    const headers = answerHeaders(head.headers);
-    if (isUnframed(head)) {
-      this.#unframe();
+  sendResponse(head: ResponseHead, body: Buffer): void {
+    if (this.#disconnected) return;
+    const headers = responseHeaders(head.headers);
+    if (isCloseDelimited(head)) {
+      this.#useCloseDelimiting();
     } else if (this.#request.method !== "HEAD" && head.status !== 304) {
       headers["content-length"] = String(body.length);
     }
@@ -82,28 +82,28 @@
     this.#response.end(body);
   }
 
-  begin(head: AnswerHead): void {
-    if (this.#left || this.begun) return;
-    if (isUnframed(head)) this.#unframe();
-    this.#response.writeHead(head.status, answerHeaders(head.headers));
+  startStream(head: ResponseHead): void {
+    if (this.#disconnected || this.responseStarted) return;
+    if (isCloseDelimited(head)) this.#useCloseDelimiting();
+    this.#response.writeHead(head.status, responseHeaders(head.headers));
   }
 
-  events(events: Buffer): void {
-    if (!this.#left) this.#response.write(events);
+  sendEvents(events: Buffer): void {
+    if (!this.#disconnected) this.#response.write(events);
   }
 
   /**
    * Ends a stream whose server's last part was `unframed` or not. Its end can't
    * be told from a crash, so a caller that was promised a framed end gets none.
    */
-  end(unframed: boolean): void {
-    if (this.#left) return;
-    if (unframed && !this.#unframed) this.cut();
+  endStream(closeDelimited: boolean): void {
+    if (this.#disconnected) return;
+    if (closeDelimited && !this.#closeDelimited) this.abortResponse();
     else this.#response.end();
   }
 
   /** Ends the connection, so that the answer can't look whole. */
-  cut(): void {
+  abortResponse(): void {
     this.#response.destroy();
   }
 
@@ -112,21 +112,21 @@
    * crashes closes its connections too: stated as a length, what had come of the
    * answer until then would look whole.
    */
-  #unframe(): void {
-    this.#unframed = true;
+  #useCloseDelimiting(): void {
+    this.#closeDelimited = true;
     this.#response.useChunkedEncodingByDefault = false;
     this.#response.shouldKeepAlive = false;
   }
 
-  #leave(): void {
-    if (this.#left || this.#response.writableFinished) return;
-    this.#left = true;
-    this.#onLeft();
+  #handleDisconnect(): void {
+    if (this.#disconnected || this.#response.writableFinished) return;
+    this.#disconnected = true;
+    this.#onDisconnect();
   }
 }
 
 /** True for an answer that ends with its connection, whole or not. */
-export function isUnframed(head: AnswerHead): boolean {
+export function isCloseDelimited(head: ResponseHead): boolean {
   return head.headers["content-length"] === undefined &&
     head.headers["transfer-encoding"] === undefined;
 }
--- a/packages/gateway/src/request/reply.ts
+++ b/packages/gateway/src/request/error_response.ts
@@ -2,7 +2,7 @@
 import type { ServerResponse } from "node:http";
 
 /** Why the gateway answers itself; the body states it. */
-export type ReplyReason =
+export type ErrorReason =
   | "no_configuration"
   | "no_route"
   | "bad_credential"
@@ -18,7 +18,7 @@
   | "broken";
 
 /** Status of each reason while the request has certainly not run. */
-const STATUS_NOT_RUN: Record<ReplyReason, number> = {
+const STATUS_NOT_RUN: Record<ErrorReason, number> = {
   no_configuration: 503,
   no_route: 404,
   bad_credential: 401,
@@ -35,16 +35,16 @@
 };
 
 /** The status that promises no more than is known. */
-export function statusOf(reason: ReplyReason, mayHaveRun: boolean): number {
+export function errorStatus(reason: ErrorReason, mayHaveRun: boolean): number {
   if (!mayHaveRun) return STATUS_NOT_RUN[reason];
   return reason === "time_up" ? 504 : 502;
 }
 
 /** Sends an answer of the gateway's own; `retryAfter` in milliseconds. */
-export function reply(
+export function sendErrorResponse(
   response: ServerResponse,
   status: number,
-  reason: ReplyReason,
+  reason: ErrorReason,
   retryAfter?: number,
 ): void {
   const body = JSON.stringify({ reason }) + "\n";
--- a/packages/gateway/src/request/event_buffer.ts
+++ b/packages/gateway/src/request/event_buffer.ts
@@ -10,42 +10,42 @@
 
 /** Cuts a stream of bytes at the ends of events. */
 export class EventBuffer {
-  #rest: Buffer = Buffer.alloc(0);
-  #lastId: string | undefined;
+  #partialEvent: Buffer = Buffer.alloc(0);
+  #lastEventId: string | undefined;
 
   /** Id of the last whole event that had one. */
-  get lastId(): string | undefined {
-    return this.#lastId;
+  get lastEventId(): string | undefined {
+    return this.#lastEventId;
   }
 
   /** True while a part of an event is held back. */
-  get partial(): boolean {
-    return this.#rest.length > 0;
+  get hasPartialEvent(): boolean {
+    return this.#partialEvent.length > 0;
   }
 
   /** The whole events that `chunk` completes, as received. */
   push(chunk: Buffer): Buffer | undefined {
-    const bytes = this.#rest.length === 0
+    const bytes = this.#partialEvent.length === 0
       ? chunk
-      : Buffer.concat([this.#rest, chunk]);
-    const end = endOfEvents(bytes);
+      : Buffer.concat([this.#partialEvent, chunk]);
+    const end = endOfLastEvent(bytes);
     if (end === 0) {
-      this.#rest = bytes;
+      this.#partialEvent = bytes;
       return undefined;
     }
-    this.#rest = bytes.subarray(end);
+    this.#partialEvent = bytes.subarray(end);
     const whole = bytes.subarray(0, end);
-    this.#lastId = lastIdOf(whole) ?? this.#lastId;
+    this.#lastEventId = findLastEventId(whole) ?? this.#lastEventId;
     return whole;
   }
 
   /** Drops the part of an event that will not be completed. */
   drop(): void {
-    this.#rest = Buffer.alloc(0);
+    this.#partialEvent = Buffer.alloc(0);
   }
 }
 
-function endOfEvents(bytes: Buffer): number {
+function endOfLastEvent(bytes: Buffer): number {
   for (let index = bytes.length - 1; index > 0; index--) {
     if (bytes[index] !== NEWLINE) continue;
     const before = bytes[index - 1] === 13 ? index - 2 : index - 1;
@@ -54,7 +54,7 @@
   return 0;
 }
 
-function lastIdOf(bytes: Buffer): string | undefined {
+function findLastEventId(bytes: Buffer): string | undefined {
   let at = bytes.lastIndexOf(ID_FIELD);
   while (at > 0 && bytes[at - 1] !== NEWLINE) {
     at = bytes.lastIndexOf(ID_FIELD, at - 1);
--- a/packages/gateway/src/request/exchange.ts
+++ b/packages/gateway/src/request/exchange.ts
@@ -7,28 +7,28 @@
  * passed on in whole events.
  * @module
  */
-import { AnswerListener } from "../backend/channel.ts";
+import { ResponseListener } from "../backend/backend_connection.ts";
 import type {
-  AnswerHead,
+  BackendConnection,
   BackendRequest,
-  Channel,
-} from "../backend/channel.ts";
+  ResponseHead,
+} from "../backend/backend_connection.ts";
 import type { HeaderNames } from "../front/header_names.ts";
-import { isUnframed } from "./caller.ts";
+import { isCloseDelimited } from "./caller_connection.ts";
 import { EventBuffer } from "./event_buffer.ts";
 
 /** Largest plain answer that is held until it is whole, in bytes. */
-const LARGEST_HELD = 1024 * 1024;
+const MAX_BUFFERED_BODY_BYTES = 1024 * 1024;
 
 /** Another server has the address; it did not run the request. */
 const MISDIRECTED = 421;
 
 /** How an exchange ended. */
-export type ExchangeEnd =
+export type ExchangeResult =
   /** A whole plain answer, not yet passed on. */
-  | { kind: "plain"; head: AnswerHead; body: Buffer }
+  | { kind: "plain"; head: ResponseHead; body: Buffer }
   /** A whole stream, passed on. */
-  | { kind: "stream"; unframed: boolean }
+  | { kind: "stream"; closeDelimited: boolean }
   /**
    * The server's own word that it did not run the request; `misdirected`: it is
    * another one than the request was meant for.
@@ -41,38 +41,38 @@
 
 /** Takes the parts of a stream as they come. */
 export type StreamSink = {
-  begin: (head: AnswerHead) => void;
+  begin: (head: ResponseHead) => void;
   /** Whole events. */
   events: (events: Buffer, lastId: string | undefined) => void;
 };
 
 /** Runs one exchange; {@link Exchange.abort} closes the connection. */
-export class Exchange extends AnswerListener {
-  readonly done: Promise<ExchangeEnd>;
+export class Exchange extends ResponseListener {
+  readonly done: Promise<ExchangeResult>;
   readonly #names: HeaderNames;
   readonly #request: string;
   readonly #sink: StreamSink;
-  readonly #channel: Channel;
-  readonly #answered: (head: AnswerHead) => void;
-  readonly #first: () => void;
-  #finish!: (end: ExchangeEnd) => void;
-  #stop: (() => void) | undefined;
-  #head: AnswerHead | undefined;
+  readonly #connection: BackendConnection;
+  readonly #onHead: (head: ResponseHead) => void;
+  readonly #onFirstPart: () => void;
+  #resolveDone!: (end: ExchangeResult) => void;
+  #abortSending: (() => void) | undefined;
+  #head: ResponseHead | undefined;
   #streaming = false;
-  #events = new EventBuffer();
+  #eventBuffer = new EventBuffer();
   #body: Buffer[] = [];
-  #size = 0;
-  #over = false;
-  heard = false;
+  #bodySize = 0;
+  #finished = false;
+  firstPartReceived = false;
 
   constructor(
     options: {
       names: HeaderNames;
       request: string;
-      channel: Channel;
+      channel: BackendConnection;
       sink: StreamSink;
       /** Takes the head of each answer that is the server's own. */
-      answered: (head: AnswerHead) => void;
+      answered: (head: ResponseHead) => void;
       /** Called at the first byte that an answer is judged by. */
       first: () => void;
     },
@@ -80,106 +80,109 @@
     super();
     this.#names = options.names;
     this.#request = options.request;
-    this.#channel = options.channel;
+    this.#connection = options.channel;
     this.#sink = options.sink;
-    this.#answered = options.answered;
-    this.#first = options.first;
-    this.done = new Promise((resolve) => this.#finish = resolve);
+    this.#onHead = options.answered;
+    this.#onFirstPart = options.first;
+    this.done = new Promise((resolve) => this.#resolveDone = resolve);
   }
 
   start(request: BackendRequest): void {
-    this.#stop = this.#channel.send(request, this);
+    this.#abortSending = this.#connection.send(request, this);
   }
 
   abort(): void {
-    if (this.#over) return;
-    this.#stop?.();
-    this.#end({ kind: "aborted" });
+    if (this.#finished) return;
+    this.#abortSending?.();
+    this.#finish({ kind: "aborted" });
   }
 
   /** Takes what comes, or doesn't, for a broken answer. */
-  giveUp(detail: string): void {
-    if (!this.#over) this.#break(detail);
+  fail(detail: string): void {
+    if (!this.#finished) this.#failWith(detail);
   }
 
-  override head(head: AnswerHead): void {
-    const problem = this.#problemOf(head);
+  override onHead(head: ResponseHead): void {
+    const problem = this.#headProblem(head);
     if (problem !== undefined) {
-      this.#break(problem);
+      this.#failWith(problem);
       return;
     }
     this.#head = head;
-    if (head.status !== MISDIRECTED) this.#answered(head);
+    if (head.status !== MISDIRECTED) this.#onHead(head);
     const type = String(head.headers["content-type"] ?? "");
     this.#streaming = head.status >= 200 && head.status < 300 &&
       type.startsWith("text/event-stream");
   }
 
-  override data(chunk: Buffer): void {
-    if (this.#over || this.#head === undefined) return;
+  override onData(chunk: Buffer): void {
+    if (this.#finished || this.#head === undefined) return;
     if (!this.#streaming) {
-      this.#hold(chunk);
+      this.#bufferBody(chunk);
       return;
     }
-    const whole = this.#events.push(chunk);
+    const whole = this.#eventBuffer.push(chunk);
     if (whole === undefined) return;
-    this.#begin();
-    this.#sink.events(whole, this.#events.lastId);
+    this.#startStream();
+    this.#sink.events(whole, this.#eventBuffer.lastEventId);
   }
 
-  override ended(): void {
-    if (this.#over || this.#head === undefined) return;
+  override onEnd(): void {
+    if (this.#finished || this.#head === undefined) return;
     if (this.#streaming) {
       this.#endStream();
       return;
     }
-    this.#hear();
+    this.#markFirstPart();
     const { status, headers } = this.#head;
     const unrun = headers[this.#names.notRun.toLowerCase()] !== undefined;
     if (unrun || status === MISDIRECTED) {
-      this.#end({ kind: "not_run", misdirected: status === MISDIRECTED });
+      this.#finish({ kind: "not_run", misdirected: status === MISDIRECTED });
       return;
     }
     const body = Buffer.concat(this.#body);
-    this.#end({ kind: "plain", head: this.#head, body });
+    this.#finish({ kind: "plain", head: this.#head, body });
   }
 
-  override failed(detail: string): void {
-    if (!this.#over) this.#break(detail);
+  override onError(detail: string): void {
+    if (!this.#finished) this.#failWith(detail);
   }
 
   #endStream(): void {
-    if (this.#events.partial) {
-      this.#break("the stream ended within an event");
+    if (this.#eventBuffer.hasPartialEvent) {
+      this.#failWith("the stream ended within an event");
       return;
     }
-    this.#begin();
-    this.#end({ kind: "stream", unframed: isUnframed(this.#head!) });
+    this.#startStream();
+    this.#finish({
+      kind: "stream",
+      closeDelimited: isCloseDelimited(this.#head!),
+    });
   }
 
-  #begin(): void {
-    if (this.heard) return;
-    this.#hear();
+  #startStream(): void {
+    if (this.firstPartReceived) return;
+    this.#markFirstPart();
     this.#sink.begin(this.#head!);
   }
 
-  #hear(): void {
-    if (this.heard) return;
-    this.heard = true;
-    this.#first();
+  #markFirstPart(): void {
+    if (this.firstPartReceived) return;
+    this.firstPartReceived = true;
+    this.#onFirstPart();
   }
 
-  #hold(chunk: Buffer): void {
-    this.#size += chunk.length;
-    if (this.#size > LARGEST_HELD) {
-      this.#break(`an answer of over ${LARGEST_HELD} bytes`);
+  #bufferBody(chunk: Buffer): void {
+    this.#bodySize += chunk.length;
+    if (this.#bodySize > MAX_BUFFERED_BODY_BYTES) {
+      this.#failWith(`an answer of over ${MAX_BUFFERED_BODY_BYTES} bytes`);
       return;
     }
     this.#body.push(chunk);
   }
 
   /** Why the answer can't be this request's, or not a server's own. */
-  #problemOf(head: AnswerHead): string | undefined {
+  #headProblem(head: ResponseHead): string | undefined {
     const { headers, status } = head;
     const echoed = headers[this.#names.requestId.toLowerCase()];
     const unrun = headers[this.#names.notRun.toLowerCase()] !== undefined ||
@@ -196,14 +199,14 @@
     return undefined;
   }
 
-  #break(detail: string): void {
-    this.#stop?.();
-    this.#end({ kind: "broken", detail });
+  #failWith(detail: string): void {
+    this.#abortSending?.();
+    this.#finish({ kind: "broken", detail });
   }
 
-  #end(end: ExchangeEnd): void {
-    if (this.#over) return;
-    this.#over = true;
-    this.#finish(end);
+  #finish(end: ExchangeResult): void {
+    if (this.#finished) return;
+    this.#finished = true;
+    this.#resolveDone(end);
   }
 }
--- a/packages/gateway/src/request/request_handler.ts
+++ b/packages/gateway/src/request/request_handler.ts
@@ -2,16 +2,16 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { setImmediate as nextTurn } from "node:timers/promises";
 import type { RequestParser } from "../front/parsed_request.ts";
-import type { Call } from "../front/parsed_request.ts";
-import { Caller } from "./caller.ts";
-import { reply, statusOf } from "./reply.ts";
-import type { ReplyReason } from "./reply.ts";
+import type { ParsedRequest } from "../front/parsed_request.ts";
+import { CallerConnection } from "./caller_connection.ts";
+import { errorStatus, sendErrorResponse } from "./error_response.ts";
+import type { ErrorReason } from "./error_response.ts";
 import type { RequestContext } from "./request_context.ts";
 import { RequestTask } from "./request_task.ts";
-import { resolveCall } from "./resolve_request.ts";
+import { resolveRequest } from "./resolve_request.ts";
 
 /** Milliseconds after which a caller may try again while this entry starts. */
-const RETRY_WHILE_STARTING = 500;
+const DEFAULT_RETRY_AFTER = 500;
 
 /** See the module. */
 export class RequestHandler {
@@ -57,9 +57,9 @@
     const { clock, activeConfiguration: inForce, random, metrics, ready } =
       this.#context;
     const call = this.#reader.parse(request, clock());
-    const caller = new Caller(request, response);
+    const caller = new CallerConnection(request, response);
     const limits = inForce()?.configuration.limits;
-    const body = await caller.body(limits?.bodyBytes ?? Infinity);
+    const body = await caller.readBody(limits?.bodyBytes ?? Infinity);
     if (body.isErr) {
       if (body.error === "too_large") {
         response.setHeader("connection", "close");
@@ -73,12 +73,12 @@
     // turn ends this poll's callbacks, the second comes after the next poll.
     await nextTurn();
     await nextTurn();
-    if (caller.left) return;
+    if (caller.disconnected) return;
     if (limits !== undefined && headSize(request) > limits.headerBytes) {
       this.#refuse(response, call, "head_too_large");
       return;
     }
-    const resolved = resolveCall(call, inForce(), random());
+    const resolved = resolveRequest(call, inForce(), random());
     if (resolved.isErr) {
       this.#refuse(response, call, resolved.error);
       return;
@@ -99,16 +99,16 @@
       caller,
       body: body.value,
     });
-    caller.onLeft(() => task.left());
+    caller.onDisconnect(() => task.callerDisconnected());
     await task.run();
   }
 
   /** `retryAfter` in milliseconds. */
   #refuse(
     response: ServerResponse,
-    call: Call,
-    reason: ReplyReason,
-    retryAfter = RETRY_WHILE_STARTING,
+    call: ParsedRequest,
+    reason: ErrorReason,
+    retryAfter = DEFAULT_RETRY_AFTER,
   ): void {
     const {
       metrics,
@@ -120,16 +120,16 @@
     // What is missing here may be in a newer version that can't be reached.
     const stale = !current() &&
       (reason === "no_route" || reason === "bad_credential");
-    const known = stale ? "no_configuration" : reason;
-    const status = statusOf(known, false);
-    reply(response, status, known, retryAfter);
-    metrics.refusals.inc({ service: "", reason: known });
+    const reported = stale ? "no_configuration" : reason;
+    const status = errorStatus(reported, false);
+    sendErrorResponse(response, status, reported, retryAfter);
+    metrics.refusals.inc({ service: "", reason: reported });
     log.write({
       event: "refused",
-      request: call.request,
+      request: call.requestId,
       status,
-      reason: known,
-      waited: Math.round(clock() - call.arrived),
+      reason: reported,
+      waited: Math.round(clock() - call.arrivedAt),
       retryAfter: Math.round(retryAfter),
       version: inForce()?.configuration.version ?? 0,
     });
--- a/packages/gateway/src/request/request_report.ts
+++ b/packages/gateway/src/request/request_report.ts
@@ -1,19 +1,23 @@
 /** What is logged and counted of one request. @module */
 import { incarnationOf } from "@sycamorepulley/decisions";
 import type { RefusalInputs, ServerRecord } from "@sycamorepulley/decisions";
-import type { Call } from "../front/parsed_request.ts";
-import type { AnswerProgress } from "./answer_progress.ts";
-import type { ReplyReason } from "./reply.ts";
+import type { ParsedRequest } from "../front/parsed_request.ts";
+import type { ResponseProgress } from "./response_progress.ts";
+import type { ErrorReason } from "./error_response.ts";
 import type { RequestContext } from "./request_context.ts";
 import type { ResolvedRequest } from "./resolve_request.ts";
 
 /** One method for each decision on the request. */
 export class RequestReport {
   readonly #context: RequestContext;
-  readonly #call: Call;
+  readonly #call: ParsedRequest;
   readonly #resolved: ResolvedRequest;
 
-  constructor(context: RequestContext, call: Call, resolved: ResolvedRequest) {
+  constructor(
+    context: RequestContext,
+    call: ParsedRequest,
+    resolved: ResolvedRequest,
+  ) {
     this.#context = context;
     this.#call = call;
     this.#resolved = resolved;
@@ -29,10 +33,10 @@
     const waited = Math.round(grant.waited);
     const limit = granter.limits.known.find(incarnationOf(server));
     const labels = { service, route: route.name };
-    metrics.waited.observe(labels, waited / 1000);
+    metrics.grantWait.observe(labels, waited / 1000);
     log.write({
       event: "granted",
-      request: this.#call.request,
+      request: this.#call.requestId,
       server: server.id,
       waited,
       by: grant.by,
@@ -54,7 +58,7 @@
     metrics.retries.inc({ service: this.#resolved.service, reason });
     log.write({
       event: "retried",
-      request: this.#call.request,
+      request: this.#call.requestId,
       server: server.id,
       reason,
       sent,
@@ -62,7 +66,7 @@
   }
 
   refused(
-    reason: ReplyReason,
+    reason: ErrorReason,
     answer: {
       status: number;
       retryAfter: number;
@@ -79,7 +83,7 @@
     else metrics.refusals.inc({ service, reason });
     log.write({
       event: "refused",
-      request: this.#call.request,
+      request: this.#call.requestId,
       status: answer.status,
       reason,
       waited: this.#age(),
@@ -106,7 +110,7 @@
     metrics.failures.inc({ service: this.#resolved.service, reason: "cut" });
     log.write({
       event: "cut",
-      request: this.#call.request,
+      request: this.#call.requestId,
       server: server?.id ?? "",
       reason,
       time: this.#age(),
@@ -118,7 +122,7 @@
     metrics.failures.inc({ service: this.#resolved.service, reason: "left" });
     log.write({
       event: "left",
-      request: this.#call.request,
+      request: this.#call.requestId,
       state,
       time: this.#age(),
     });
@@ -127,27 +131,27 @@
   answered(
     server: ServerRecord,
     status: number,
-    progress: AnswerProgress,
+    progress: ResponseProgress,
   ): void {
     const { clock, metrics, log } = this.#context;
     const { service, route, cost } = this.#resolved;
     const labels = { service, route: route.name };
     const now = clock();
-    const first = (progress.firstAt ?? now) - this.#call.arrived;
-    const time = now - this.#call.arrived;
-    metrics.answers.inc({ service, status: String(status) });
-    metrics.firstByte.observe(labels, first / 1000);
-    metrics.whole.observe(labels, time / 1000);
+    const first = (progress.firstPartAt ?? now) - this.#call.arrivedAt;
+    const time = now - this.#call.arrivedAt;
+    metrics.responses.inc({ service, status: String(status) });
+    metrics.timeToFirstByte.observe(labels, first / 1000);
+    metrics.timeToLastByte.observe(labels, time / 1000);
     log.write({
       event: "answered",
-      request: this.#call.request,
+      request: this.#call.requestId,
       server: server.id,
       status,
       first: Math.round(first),
       time: Math.round(time),
       promptTokens: cost.promptTokens,
       outputTokens: cost.outputTokens,
-      events: progress.events,
+      events: progress.eventCount,
       longestPause: Math.round(progress.longestPause),
     });
   }
@@ -157,6 +161,6 @@
   }
 
   #age(): number {
-    return Math.round(this.#context.clock() - this.#call.arrived);
+    return Math.round(this.#context.clock() - this.#call.arrivedAt);
   }
 }
--- a/packages/gateway/src/request/request_task.ts
+++ b/packages/gateway/src/request/request_task.ts
@@ -9,57 +9,57 @@
  */
 import { incarnationOf, isRepeatable } from "@sycamorepulley/decisions";
 import type { ServerRecord } from "@sycamorepulley/decisions";
-import type { Call } from "../front/parsed_request.ts";
+import type { ParsedRequest } from "../front/parsed_request.ts";
 import type { GrantResult } from "../peers/pending_grant.ts";
-import { AnswerProgress } from "./answer_progress.ts";
-import { fingerprintOf } from "./backend_headers.ts";
-import type { Caller } from "./caller.ts";
-import type { ExchangeEnd } from "./exchange.ts";
-import { FinalAnswer } from "./final_answer.ts";
-import type { GivenUp } from "./final_answer.ts";
-import { lapseOf, LEAST_TIME_LEFT } from "./patience.ts";
-import type { ReplyReason } from "./reply.ts";
+import { ResponseProgress } from "./response_progress.ts";
+import { requestFingerprint } from "./backend_headers.ts";
+import type { CallerConnection } from "./caller_connection.ts";
+import type { ExchangeResult } from "./exchange.ts";
+import { FinalResponse } from "./final_response.ts";
+import type { GiveUpOptions } from "./final_response.ts";
+import { grantDeadline, MIN_REMAINING_TIME } from "./timeouts.ts";
+import type { ErrorReason } from "./error_response.ts";
 import type { RequestContext } from "./request_context.ts";
 import { RequestReport } from "./request_report.ts";
 import type { ResolvedRequest } from "./resolve_request.ts";
-import { ServerTry } from "./server_try.ts";
-import type { TriedAt, TryEnd } from "./server_try.ts";
+import { ServerAttempt } from "./server_attempt.ts";
+import type { AttemptResult, AttemptTarget } from "./server_attempt.ts";
 
 /**
  * Grants that one request may use up, whatever became of them. A refused connect
  * takes a millisecond and reaches nobody; a whole data centre of servers may be
  * down, and each refuses one.
  */
-const MOST_GRANTS = 20;
+const MAX_GRANTS = 20;
 /** Milliseconds after which a refused caller may come back, if nothing is known. */
 const DEFAULT_RETRY_AFTER = 300;
 
 /** See the module. */
 export class RequestTask {
   readonly #context: RequestContext;
-  readonly #call: Call;
+  readonly #call: ParsedRequest;
   readonly #resolved: ResolvedRequest;
-  readonly #caller: Caller;
+  readonly #caller: CallerConnection;
   readonly #body: Buffer | undefined;
   readonly #fingerprint: string;
   readonly #report: RequestReport;
-  readonly #answer: FinalAnswer;
-  readonly #progress = new AnswerProgress();
-  readonly #avoid: string[] = [];
+  readonly #response: FinalResponse;
+  readonly #progress = new ResponseProgress();
+  readonly #excludedServers: string[] = [];
   /** Servers that something was written to and that may have run it. */
-  #sent = 0;
+  #serversSentTo = 0;
   #mayHaveRun = false;
-  #stop: (() => void) | undefined;
-  #timeUp = false;
+  #cancelStep: (() => void) | undefined;
+  #timedOut = false;
   /** The resend after a silence is paid for already. */
-  #retryTaken = false;
+  #retryConsumed = false;
 
   constructor(
     options: {
       context: RequestContext;
-      call: Call;
+      call: ParsedRequest;
       resolved: ResolvedRequest;
-      caller: Caller;
+      caller: CallerConnection;
       body: Buffer | undefined;
     },
   ) {
@@ -70,8 +70,8 @@
     this.#body = options.body;
     const { context, call, resolved } = options;
     this.#report = new RequestReport(context, call, resolved);
-    this.#answer = new FinalAnswer(options.caller, this.#report);
-    this.#fingerprint = fingerprintOf(
+    this.#response = new FinalResponse(options.caller, this.#report);
+    this.#fingerprint = requestFingerprint(
       options.call,
       options.body,
       options.context.headerNames.requestId,
@@ -79,55 +79,57 @@
   }
 
   /** The caller has left: nothing more is done for it. */
-  left(): void {
-    this.#stop?.();
+  callerDisconnected(): void {
+    this.#cancelStep?.();
   }
 
   async run(): Promise<void> {
     const { clock } = this.#context;
     const left = this.#resolved.deadline - clock();
     const timer = setTimeout(() => {
-      this.#timeUp = true;
-      this.#stop?.();
+      this.#timedOut = true;
+      this.#cancelStep?.();
     }, Math.max(0, left));
     try {
-      await this.#attempts();
+      await this.#runAttempts();
     } finally {
       clearTimeout(timer);
     }
   }
 
-  async #attempts(): Promise<void> {
-    for (let grant = 1; grant <= MOST_GRANTS; grant++) {
-      if (this.#over()) return;
-      const answer = await this.#ask(grant);
-      if (this.#over()) {
+  async #runAttempts(): Promise<void> {
+    for (let grant = 1; grant <= MAX_GRANTS; grant++) {
+      if (this.#isOver()) return;
+      const answer = await this.#requestGrant(grant);
+      if (this.#isOver()) {
         // A grant that is kept without a request takes a place for ever.
         if (answer !== undefined) this.#context.grantClient.withdraw(answer.id);
         return;
       }
       if (answer === undefined) continue;
-      await this.#sendTo(answer.id, answer.server);
+      await this.#sendToServer(answer.id, answer.server);
     }
-    if (this.#over()) return;
+    if (this.#isOver()) return;
     this.#giveUp("not_run", DEFAULT_RETRY_AFTER);
   }
 
   /** True when the caller has left or the time is up; the latter is answered. */
-  #over(): boolean {
-    if (this.#answer.given) return true;
-    if (this.#caller.left) {
-      this.#answer.left(this.#sent > 0 ? "sent" : "waiting");
+  #isOver(): boolean {
+    if (this.#response.settled) return true;
+    if (this.#caller.disconnected) {
+      this.#response.reportDisconnect(
+        this.#serversSentTo > 0 ? "sent" : "waiting",
+      );
       return true;
     }
     const left = this.#resolved.deadline - this.#context.clock();
-    if (!this.#timeUp && left >= LEAST_TIME_LEFT) return false;
+    if (!this.#timedOut && left >= MIN_REMAINING_TIME) return false;
     this.#giveUp("time_up");
     return true;
   }
 
   /** A granted server; `undefined` after a refusal, or to ask again. */
-  async #ask(
+  async #requestGrant(
     grant: number,
   ): Promise<{ id: string; server: ServerRecord } | undefined> {
     const { grantClient: granter, clock, findServer: server } = this.#context;
@@ -135,7 +137,7 @@
     const { tierRank, routeRank } = this.#resolved;
     const asked = clock();
     const { lastEvent } = this.#progress;
-    const from = lastEvent === undefined ? this.#call.arrived : asked;
+    const from = lastEvent === undefined ? this.#call.arrivedAt : asked;
     const { id, result: answer } = granter.submit({
       service,
       organisation,
@@ -144,18 +146,18 @@
       cost,
       charge,
       dataCentre: this.#context.dataCentre,
-      arrived: this.#call.arrived,
-      latencyGoalAt: this.#call.arrived + route.latencyGoal,
+      arrived: this.#call.arrivedAt,
+      latencyGoalAt: this.#call.arrivedAt + route.latencyGoal,
       expiresAt: Math.min(
-        lapseOf(this.#resolved, from),
+        grantDeadline(this.#resolved, from),
         this.#context.drainAdmission.latestStartTime(this.#resolved),
       ),
       deadline: this.#resolved.deadline,
       fingerprint: this.#fingerprint,
       jitter: this.#context.random(),
-      excludedServers: [...this.#avoid],
+      excludedServers: [...this.#excludedServers],
     });
-    const verdict = await this.#orStopped(answer);
+    const verdict = await this.#unlessCancelled(answer);
     if (verdict === undefined) {
       granter.withdraw(id);
       return undefined;
@@ -168,7 +170,7 @@
     if (record === undefined) {
       // It is leaving, and the one that granted has not heard of it yet.
       granter.withdraw(id);
-      this.#avoid.push(verdict.server);
+      this.#excludedServers.push(verdict.server);
       return undefined;
     }
     const waited = clock() - asked;
@@ -177,36 +179,39 @@
     return { id, server: record };
   }
 
-  async #sendTo(ask: string, server: ServerRecord): Promise<void> {
+  async #sendToServer(ask: string, server: ServerRecord): Promise<void> {
     const { connectionPool: pool, grantClient: granter } = this.#context;
     const incarnation = incarnationOf(server);
     const strict = !isRepeatable(this.#resolved.route);
-    const channel = await pool.take(server, strict);
+    const channel = await pool.acquire(server, strict);
     if (channel.isErr) {
       // Nothing reached the server, so no resend is spent.
       granter.recordEnd(ask, channel.error);
-      this.#avoid.push(incarnation);
-      this.#report.retried(server, channel.error, this.#sent);
+      this.#excludedServers.push(incarnation);
+      this.#report.retried(server, channel.error, this.#serversSentTo);
       return;
     }
-    if (this.#caller.left || this.#timeUp || this.#gone(incarnation)) {
+    if (
+      this.#caller.disconnected || this.#timedOut ||
+      this.#excludeIfUnusable(incarnation)
+    ) {
       granter.withdraw(ask);
-      pool.give(server, channel.value);
+      pool.release(server, channel.value);
       return;
     }
     const at = { ask, server, channel: channel.value };
-    this.#settle(at, await this.#try(at));
+    this.#handleResult(at, await this.#runAttempt(at));
   }
 
-  #gone(incarnation: string): boolean {
+  #excludeIfUnusable(incarnation: string): boolean {
     if (this.#context.findServer(incarnation) !== undefined) return false;
-    this.#avoid.push(incarnation);
+    this.#excludedServers.push(incarnation);
     return true;
   }
 
-  async #try(at: TriedAt): Promise<TryEnd> {
+  async #runAttempt(at: AttemptTarget): Promise<AttemptResult> {
     const context = this.#context;
-    const attempt = new ServerTry({
+    const attempt = new ServerAttempt({
       context,
       call: this.#call,
       resolved: this.#resolved,
@@ -214,23 +219,28 @@
       body: this.#body,
       progress: this.#progress,
     }, at);
-    this.#stop = () => attempt.abort();
-    this.#sent++;
+    this.#cancelStep = () => attempt.abort();
+    this.#serversSentTo++;
     this.#mayHaveRun = true;
     const end = await attempt.run(
-      this.#mayTryAnother() ? () => this.#leaveSilent(at.server) : undefined,
+      this.#mayUseAnotherServer()
+        ? () => this.#abandonSilentServer(at.server)
+        : undefined,
     );
-    this.#stop = undefined;
+    this.#cancelStep = undefined;
     return end;
   }
 
   /** True if the request goes on elsewhere while its server is silent. */
-  #leaveSilent(server: ServerRecord): boolean {
-    this.#retryTaken = this.#takeRetry(server, "silent");
-    return this.#retryTaken;
+  #abandonSilentServer(server: ServerRecord): boolean {
+    this.#retryConsumed = this.#consumeRetry(server, "silent");
+    return this.#retryConsumed;
   }
 
-  #settle({ ask, server, channel }: TriedAt, { end, runEnd }: TryEnd): void {
+  #handleResult(
+    { ask, server, channel }: AttemptTarget,
+    { end, runEnd }: AttemptResult,
+  ): void {
     const {
       grantClient: granter,
       connectionPool: pool,
@@ -239,104 +249,111 @@
     } = this.#context;
     const { services } = inForce()?.configuration ?? {};
     const { route, service } = this.#resolved;
-    const pace = this.#progress.pace(this.#sent, {
+    const pace = this.#progress.timing(this.#serversSentTo, {
       tokensPerEvent: services?.get(service)?.tokensPerEvent ?? 1,
       acceptedPause: route.pauseGoal,
     }, clock());
     granter.recordEnd(ask, runEnd, pace);
     switch (end.kind) {
       case "stream":
-        pool.give(server, channel);
-        this.#answer.stream(server, end.unframed, this.#progress);
+        pool.release(server, channel);
+        this.#response.endStream(server, end.closeDelimited, this.#progress);
         return;
       case "plain":
-        pool.give(server, channel);
-        this.#plain(server, end);
+        pool.release(server, channel);
+        this.#handlePlainResponse(server, end);
         return;
       case "not_run":
-        pool.give(server, channel);
-        this.#notRun();
-        this.#avoid.push(incarnationOf(server));
-        this.#spendRetry(server, "not_run");
+        pool.release(server, channel);
+        this.#uncountServer();
+        this.#excludedServers.push(incarnationOf(server));
+        this.#retryOrRefuse(server, "not_run");
         return;
       case "broken":
-        this.#avoid.push(incarnationOf(server));
-        this.#broken(server, end.detail);
+        this.#excludedServers.push(incarnationOf(server));
+        this.#handleBrokenResponse(server, end.detail);
         return;
       case "aborted":
     }
   }
 
   /** A server said that it did not run what was sent to it last. */
-  #notRun(): void {
-    this.#sent--;
-    this.#mayHaveRun = this.#sent > 0;
+  #uncountServer(): void {
+    this.#serversSentTo--;
+    this.#mayHaveRun = this.#serversSentTo > 0;
   }
 
-  #plain(
+  #handlePlainResponse(
     server: ServerRecord,
-    end: Extract<ExchangeEnd, { kind: "plain" }>,
+    end: Extract<ExchangeResult, { kind: "plain" }>,
   ): void {
     const failed = end.head.status >= 500;
-    if (failed && this.#mayTryAnother() && this.#takeRetry(server, "failed")) {
-      this.#avoid.push(incarnationOf(server));
+    if (
+      failed && this.#mayUseAnotherServer() &&
+      this.#consumeRetry(server, "failed")
+    ) {
+      this.#excludedServers.push(incarnationOf(server));
       return;
     }
-    this.#answer.plain(server, end, this.#progress);
+    this.#response.sendPlain(server, end, this.#progress);
   }
 
-  #broken(server: ServerRecord, detail: string): void {
-    if (this.#retryTaken) {
-      this.#retryTaken = false;
+  #handleBrokenResponse(server: ServerRecord, detail: string): void {
+    if (this.#retryConsumed) {
+      this.#retryConsumed = false;
+      return;
+    }
+    if (this.#mayUseAnotherServer() && this.#consumeRetry(server, "broken")) {
       return;
     }
-    if (this.#mayTryAnother() && this.#takeRetry(server, "broken")) return;
-    if (this.#caller.begun) this.#answer.cut(server, detail);
+    if (this.#caller.responseStarted) this.#response.abort(server, detail);
     else this.#giveUp("broken");
   }
 
   /** What may have run may go to another server only if it may be repeated. */
-  #mayTryAnother(): boolean {
+  #mayUseAnotherServer(): boolean {
     const { route } = this.#resolved;
-    return isRepeatable(route) && this.#sent < route.maximumServers;
+    return isRepeatable(route) && this.#serversSentTo < route.maximumServers;
   }
 
   /** Goes on after a try that did not run the request, or answers finally. */
-  #spendRetry(server: ServerRecord, reason: string): void {
-    if (this.#takeRetry(server, reason)) return;
+  #retryOrRefuse(server: ServerRecord, reason: string): void {
+    if (this.#consumeRetry(server, reason)) return;
     this.#giveUp("not_run", DEFAULT_RETRY_AFTER);
   }
 
   /** Takes a resend from the service's budget; false when it is spent. */
-  #takeRetry(server: ServerRecord, reason: string): boolean {
+  #consumeRetry(server: ServerRecord, reason: string): boolean {
     const { consumeRetry: takeResend, clock } = this.#context;
     const { service } = this.#resolved;
     if (!takeResend(service, clock())) return false;
-    this.#report.retried(server, reason, this.#sent);
+    this.#report.retried(server, reason, this.#serversSentTo);
     return true;
   }
 
   #giveUp(
-    reason: ReplyReason,
+    reason: ErrorReason,
     retryAfter?: number,
-    decided?: GivenUp["decided"],
+    decided?: GiveUpOptions["decision"],
   ): void {
-    this.#answer.giveUp({
+    this.#response.giveUp({
       reason,
       mayHaveRun: this.#mayHaveRun,
-      left: this.#resolved.deadline - this.#context.clock(),
+      remainingTime: this.#resolved.deadline - this.#context.clock(),
       retryAfter,
-      decided,
+      decision: decided,
     });
   }
 
   /** The answer, or `undefined` once the caller left or the time was up. */
-  #orStopped(answer: Promise<GrantResult>): Promise<GrantResult | undefined> {
+  #unlessCancelled(
+    answer: Promise<GrantResult>,
+  ): Promise<GrantResult | undefined> {
     return new Promise((resolve) => {
-      this.#stop = () => resolve(undefined);
-      if (this.#caller.left || this.#timeUp) resolve(undefined);
+      this.#cancelStep = () => resolve(undefined);
+      if (this.#caller.disconnected || this.#timedOut) resolve(undefined);
       void answer.then((verdict) => {
-        this.#stop = undefined;
+        this.#cancelStep = undefined;
         resolve(verdict);
       });
     });
--- a/packages/gateway/src/request/resolve_request.ts
+++ b/packages/gateway/src/request/resolve_request.ts
@@ -2,7 +2,7 @@
 import { chooseService } from "@sycamorepulley/decisions";
 import type { Cost, Route } from "@sycamorepulley/decisions";
 import { Result } from "true-myth/result";
-import type { Call } from "../front/parsed_request.ts";
+import type { ParsedRequest } from "../front/parsed_request.ts";
 import type {
   ActiveConfiguration,
   Organisation,
@@ -25,7 +25,7 @@
 };
 
 /** Why a call is refused before it is placed. */
-export type CallProblem =
+export type ResolutionError =
   | "no_configuration"
   | "no_route"
   | "bad_credential";
@@ -34,18 +34,18 @@
  * Expected tokens of an answer over the most that its caller allows, where the
  * caller gives no estimate.
  */
-const EXPECTED_PART = 0.1;
-const PLAIN_CALL: Cost = { promptTokens: 0, outputTokens: 1 };
+const EXPECTED_OUTPUT_SHARE = 0.1;
+const PLAIN_REQUEST_COST: Cost = { promptTokens: 0, outputTokens: 1 };
 
 /** Resolves by the configuration in force; `draw` in [0, 1) splits traffic. */
-export function resolveCall(
-  call: Call,
+export function resolveRequest(
+  call: ParsedRequest,
   inForce: ActiveConfiguration | undefined,
-  draw: number,
-): Result<ResolvedRequest, CallProblem> {
+  randomDraw: number,
+): Result<ResolvedRequest, ResolutionError> {
   if (inForce === undefined) return Result.err("no_configuration");
   const route = inForce.routes.find(call.host, call.target);
-  const service = route && chooseService(route, draw);
+  const service = route && chooseService(route, randomDraw);
   if (route === undefined || service === undefined) {
     return Result.err("no_route");
   }
@@ -54,25 +54,26 @@
   const organisation = inForce.organisationOf(call.credential);
   if (asked && organisation === undefined) return Result.err("bad_credential");
   const known = asked ? organisation : undefined;
-  const { tokens } = call;
+  const { statedTokens: tokens } = call;
   const stated = tokens?.outputTokens ?? 0;
-  const expected = call.expectedTokens ?? stated * EXPECTED_PART;
+  const expected = call.expectedOutputTokens ?? stated * EXPECTED_OUTPUT_SHARE;
   return Result.ok({
     route,
     service,
     organisation: known?.name ?? "",
     tierRank: known?.tierRank ?? route.tierRank,
     routeRank: known?.tierRank === undefined ? 0 : route.tierRank,
-    cost: tokens === undefined ? PLAIN_CALL : {
+    cost: tokens === undefined ? PLAIN_REQUEST_COST : {
       promptTokens: tokens.promptTokens,
       outputTokens: Math.min(stated, Math.round(expected)),
     },
-    charge: chargeOf(known, tokens),
-    deadline: call.arrived + Math.min(call.timeLeft ?? Infinity, route.timeout),
+    charge: quotaCharge(known, tokens),
+    deadline: call.arrivedAt +
+      Math.min(call.remainingTime ?? Infinity, route.timeout),
   });
 }
 
-function chargeOf(
+function quotaCharge(
   organisation: Organisation | undefined,
   tokens: Cost | undefined,
 ): number {
--- a/packages/gateway/src/request/answer_progress.ts
+++ b/packages/gateway/src/request/response_progress.ts
@@ -2,28 +2,28 @@
 
 import type { StreamTiming } from "@sycamorepulley/decisions";
 
-const NOTHING: StreamTiming = { tokens: 0, measured: 0, pausePart: 0 };
+const NO_TIMING: StreamTiming = { tokens: 0, measured: 0, pausePart: 0 };
 
 /** Times are those of the clock that the caller passes. */
-export class AnswerProgress {
+export class ResponseProgress {
   /** Id of the last event passed on. */
   lastEvent: string | undefined;
-  firstAt: number | undefined;
-  events = 0;
+  firstPartAt: number | undefined;
+  eventCount = 0;
   longestPause = 0;
-  #heardAt: number | undefined;
+  #lastEventsAt: number | undefined;
 
   /** The first part of an answer came. */
-  first(now: number): void {
-    this.firstAt ??= now;
+  recordFirstPart(now: number): void {
+    this.firstPartAt ??= now;
   }
 
   /** Events were passed on. */
-  passed(lastId: string | undefined, now: number): void {
+  recordEvents(lastId: string | undefined, now: number): void {
     this.lastEvent = lastId ?? this.lastEvent;
-    this.events++;
-    const pause = now - (this.#heardAt ?? now);
-    this.#heardAt = now;
+    this.eventCount++;
+    const pause = now - (this.#lastEventsAt ?? now);
+    this.#lastEventsAt = now;
     this.longestPause = Math.max(this.longestPause, pause);
   }
 
@@ -31,19 +31,19 @@
    * What a server's pace is learned from; nothing where several had a part.
    * `acceptedPause` in milliseconds, if the route states one.
    */
-  pace(
-    servers: number,
+  timing(
+    serverCount: number,
     stream: { tokensPerEvent: number; acceptedPause: number | undefined },
     now: number,
   ): StreamTiming {
-    const events = Math.max(0, this.events - 1);
-    if (events === 0 || servers > 1 || this.firstAt === undefined) {
-      return NOTHING;
+    const events = Math.max(0, this.eventCount - 1);
+    if (events === 0 || serverCount > 1 || this.firstPartAt === undefined) {
+      return NO_TIMING;
     }
     const { tokensPerEvent, acceptedPause } = stream;
     return {
       tokens: events * tokensPerEvent,
-      measured: now - this.firstAt,
+      measured: now - this.firstPartAt,
       pausePart: this.longestPause / (acceptedPause ?? Infinity),
     };
   }
--- a/packages/gateway/src/request/retry_budgets.ts
+++ b/packages/gateway/src/request/retry_budgets.ts
@@ -4,7 +4,7 @@
 import type { GatewayBounds } from "../settings.ts";
 
 /** Part of the fleet's resends that is used: others may count otherwise. */
-const RETRY_PART = 0.6;
+const USED_SHARE = 0.6;
 
 /** Takes a resend of the service; false when its budget is spent. */
 export type ConsumeRetry = (service: string, now: number) => boolean;
@@ -16,7 +16,7 @@
 ): ConsumeRetry {
   const budgets = new Map<string, RetryBudget>();
   return (service, now) => {
-    const options = optionsOf(bounds(), Math.max(1, entries()));
+    const options = budgetOptions(bounds(), Math.max(1, entries()));
     const known = budgets.get(service);
     known?.configure(options, now);
     const budget = known ?? new RetryBudget(options);
@@ -25,11 +25,14 @@
   };
 }
 
-function optionsOf(bounds: GatewayBounds, entries: number): RetryBudgetOptions {
+function budgetOptions(
+  bounds: GatewayBounds,
+  entries: number,
+): RetryBudgetOptions {
   const { retryRatio, retrySlack, retryWindowSeconds } = bounds;
-  const largest = retrySlack * RETRY_PART / entries;
+  const largest = retrySlack * USED_SHARE / entries;
   return {
-    retriesPerSuccess: retryRatio * RETRY_PART,
+    retriesPerSuccess: retryRatio * USED_SHARE,
     refillPerSecond: largest / 2 / retryWindowSeconds,
     capacity: Math.max(2, largest / 2),
   };
--- a/packages/gateway/src/request/server_try.ts
+++ b/packages/gateway/src/request/server_attempt.ts
@@ -1,50 +1,54 @@
 /** One try of a request at one backend server, passed on to its caller. @module */
 import { incarnationOf } from "@sycamorepulley/decisions";
 import type { RunOutcome, ServerRecord } from "@sycamorepulley/decisions";
-import type { Channel } from "../backend/channel.ts";
-import type { Call } from "../front/parsed_request.ts";
-import type { AnswerProgress } from "./answer_progress.ts";
+import type { BackendConnection } from "../backend/backend_connection.ts";
+import type { ParsedRequest } from "../front/parsed_request.ts";
+import type { ResponseProgress } from "./response_progress.ts";
 import { backendHeaders } from "./backend_headers.ts";
-import type { Caller } from "./caller.ts";
+import type { CallerConnection } from "./caller_connection.ts";
 import { Exchange } from "./exchange.ts";
-import type { ExchangeEnd } from "./exchange.ts";
-import { silenceLimits } from "./patience.ts";
+import type { ExchangeResult } from "./exchange.ts";
+import { silenceTimeouts } from "./timeouts.ts";
 import type { RequestContext } from "./request_context.ts";
 import type { ResolvedRequest } from "./resolve_request.ts";
-import { SilenceWatch } from "./silence_watch.ts";
+import { SilenceWatchdog } from "./silence_watchdog.ts";
 
 /** Milliseconds without a first part that tell of a dark server. */
-const DARK_AFTER = 1500;
+const UNRESPONSIVE_AFTER = 1500;
 
 /** What is tried. */
-export type TriedRequest = {
+export type AttemptRequest = {
   context: RequestContext;
-  call: Call;
+  call: ParsedRequest;
   resolved: ResolvedRequest;
-  caller: Caller;
+  caller: CallerConnection;
   body: Buffer | undefined;
-  progress: AnswerProgress;
+  progress: ResponseProgress;
 };
 
 /** Where it is tried; `ask` is the grant's. */
-export type TriedAt = { ask: string; server: ServerRecord; channel: Channel };
+export type AttemptTarget = {
+  ask: string;
+  server: ServerRecord;
+  channel: BackendConnection;
+};
 
 /** How it ended, and what that tells of the server. */
-export type TryEnd = { end: ExchangeEnd; runEnd: RunOutcome };
+export type AttemptResult = { end: ExchangeResult; runEnd: RunOutcome };
 
 /** See the module. */
-export class ServerTry {
-  readonly #request: TriedRequest;
-  readonly #at: TriedAt;
+export class ServerAttempt {
+  readonly #request: AttemptRequest;
+  readonly #target: AttemptTarget;
   readonly #exchange: Exchange;
   readonly #sentAt: number;
-  #watch: SilenceWatch | undefined;
+  #watchdog: SilenceWatchdog | undefined;
 
-  constructor(request: TriedRequest, at: TriedAt) {
+  constructor(request: AttemptRequest, at: AttemptTarget) {
     this.#request = request;
-    this.#at = at;
+    this.#target = at;
     this.#sentAt = request.context.clock();
-    this.#exchange = this.#newExchange();
+    this.#exchange = this.#createExchange();
   }
 
   /** Gives the try up; the server is told by the end of its connection. */
@@ -53,11 +57,11 @@
   }
 
   /** `silent` is called after a silence, if given; true gives the server up. */
-  async run(silent: (() => boolean) | undefined): Promise<TryEnd> {
+  async run(silent: (() => boolean) | undefined): Promise<AttemptResult> {
     const { context, call, resolved, body, progress } = this.#request;
     const { clock, headerNames: names, drainAdmission: closing } = context;
-    const { server } = this.#at;
-    this.#watch = silent && this.#watched(silent);
+    const { server } = this.#target;
+    this.#watchdog = silent && this.#createWatchdog(silent);
     this.#exchange.start({
       method: call.method,
       target: call.target,
@@ -72,55 +76,55 @@
       body,
     });
     const end = await this.#exchange.done;
-    this.#watch?.end();
+    this.#watchdog?.stop();
     const time = clock() - this.#sentAt;
     if (end.kind === "stream") {
       closing.streamDurations.observe(resolved.cost, time);
     }
-    const dark = !this.#exchange.heard && time > DARK_AFTER;
+    const dark = !this.#exchange.firstPartReceived && time > UNRESPONSIVE_AFTER;
     // Its caller left a server that had said nothing for long.
     const sawDark = end.kind === "aborted" && dark;
     return { end, runEnd: sawDark ? "broken" : runEndOf(end) };
   }
 
-  #watched(silent: () => boolean): SilenceWatch {
-    const limits = silenceLimits(this.#request.resolved.route);
-    return new SilenceWatch(limits, () => {
+  #createWatchdog(silent: () => boolean): SilenceWatchdog {
+    const limits = silenceTimeouts(this.#request.resolved.route);
+    return new SilenceWatchdog(limits, () => {
       if (!silent()) return false;
-      this.#exchange.giveUp("silent");
+      this.#exchange.fail("silent");
       return true;
     });
   }
 
-  #newExchange(): Exchange {
+  #createExchange(): Exchange {
     const { context, call, caller, progress } = this.#request;
     const { clock, grantClient: granter, headerNames: names } = context;
-    const { ask, server, channel } = this.#at;
+    const { ask, server, channel } = this.#target;
     return new Exchange({
       names,
-      request: call.request,
+      request: call.requestId,
       channel,
       answered: ({ headers }) => {
         const limit = headers[names.serverLimit.toLowerCase()];
         granter.limits.observe(incarnationOf(server), limit, this.#sentAt);
       },
       first: () => {
-        progress.first(clock());
+        progress.recordFirstPart(clock());
         granter.recordResponseStart(ask, clock() - this.#sentAt);
       },
       sink: {
-        begin: (head) => caller.begin(head),
+        begin: (head) => caller.startStream(head),
         events: (events, lastId) => {
-          progress.passed(lastId, clock());
-          this.#watch?.heard();
-          caller.events(events);
+          progress.recordEvents(lastId, clock());
+          this.#watchdog?.reset();
+          caller.sendEvents(events);
         },
       },
     });
   }
 }
 
-function runEndOf(end: ExchangeEnd): RunOutcome {
+function runEndOf(end: ExchangeResult): RunOutcome {
   switch (end.kind) {
     case "stream":
       return "answered";
--- a/packages/gateway/src/request/silence_watch.ts
+++ b/packages/gateway/src/request/silence_watchdog.ts
@@ -8,36 +8,36 @@
  */
 
 /** Milliseconds of silence that are waited for. */
-export type SilenceLimits = {
+export type SilenceTimeouts = {
   /** Until the first part of the answer. */
-  first: number;
+  firstPart: number;
   /** Between parts. */
-  between: number;
+  nextPart: number;
 };
 
 /** Calls `silent` after a silence; if that returns false, watches on. */
-export class SilenceWatch {
-  readonly #limits: SilenceLimits;
-  readonly #silent: () => boolean;
+export class SilenceWatchdog {
+  readonly #timeouts: SilenceTimeouts;
+  readonly #onSilence: () => boolean;
   #timer: NodeJS.Timeout;
 
-  constructor(limits: SilenceLimits, silent: () => boolean) {
-    this.#limits = limits;
-    this.#silent = silent;
-    this.#timer = setTimeout(() => this.#expired(), limits.first);
+  constructor(limits: SilenceTimeouts, silent: () => boolean) {
+    this.#timeouts = limits;
+    this.#onSilence = silent;
+    this.#timer = setTimeout(() => this.#onTimeout(), limits.firstPart);
   }
 
   /** A part of the answer came. */
-  heard(): void {
+  reset(): void {
     clearTimeout(this.#timer);
-    this.#timer = setTimeout(() => this.#expired(), this.#limits.between);
+    this.#timer = setTimeout(() => this.#onTimeout(), this.#timeouts.nextPart);
   }
 
-  end(): void {
+  stop(): void {
     clearTimeout(this.#timer);
   }
 
-  #expired(): void {
-    if (!this.#silent()) this.heard();
+  #onTimeout(): void {
+    if (!this.#onSilence()) this.reset();
   }
 }
--- a/packages/gateway/test/event_log_test.ts
+++ b/packages/gateway/test/event_log_test.ts
@@ -1,7 +1,7 @@
 import t from "tap";
 import { EventLog, LineSink } from "../src/mod.ts";
 
-class Sink extends LineSink {
+class CollectingSink extends LineSink {
   readonly lines: string[] = [];
   full = false;
 
@@ -12,12 +12,12 @@
   }
 }
 
-function messages(sink: Sink): string[] {
+function messages(sink: CollectingSink): string[] {
   return sink.lines.map((line) => JSON.parse(line).message);
 }
 
 t.test("a flood of one event is cut, counted and said", (t) => {
-  const sink = new Sink();
+  const sink = new CollectingSink();
   let now = 0;
   const log = new EventLog({ instance: "e", sink, clock: () => now });
   for (let count = 0; count < 500; count++) {
@@ -36,7 +36,7 @@
 t.test("a reader that stops reading blocks nothing and is told later", (t) => {
   // The collector of the logs hangs. Lines that find no room are counted; none
   // is waited for.
-  const sink = new Sink();
+  const sink = new CollectingSink();
   let now = 0;
   const log = new EventLog({ instance: "e", sink, clock: () => now });
   sink.full = true;
--- a/packages/gateway/test/fake_backend_server.ts
+++ b/packages/gateway/test/fake_backend_server.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo, Socket } from "node:net";
 
 /** What a stand-in server got. */
-export type Received = {
+export type ReceivedRequest = {
   method: string;
   target: string;
   headers: IncomingMessage["headers"];
@@ -11,17 +11,17 @@
 };
 
 /** Answers one request; `socket` is for faults. */
-export type Answer = (
+export type Respond = (
   response: ServerResponse,
-  received: Received,
+  received: ReceivedRequest,
   socket: Socket,
 ) => void;
 
 /** A backend server of tests: records what it gets, answers as told. */
 export class FakeBackendServer {
-  readonly receivedRequests: Received[] = [];
+  readonly receivedRequests: ReceivedRequest[] = [];
   readonly #server: Server;
-  respond: Answer = (response, received) =>
+  respond: Respond = (response, received) =>
     writeSealedHead(response, received).end("ok");
   closedConnections = 0;
 
@@ -61,7 +61,7 @@
 /** The head of a server's own answer. */
 export function writeSealedHead(
   response: ServerResponse,
-  received: Received,
+  received: ReceivedRequest,
   headers: Record<string, string> = {},
 ): ServerResponse {
   return response.writeHead(200, {
@@ -74,7 +74,7 @@
 /** The same for a stream of events. */
 export function startEventStream(
   response: ServerResponse,
-  received: Received,
+  received: ReceivedRequest,
 ): ServerResponse {
   return writeSealedHead(response, received, {
     "content-type": "text/event-stream",
@@ -87,7 +87,7 @@
 }
 
 /** The start of an answer as bytes, on a connection that is to close after it. */
-export function rawHead(received: Received): string {
+export function rawResponseHead(received: ReceivedRequest): string {
   const name = String(received.headers["x-request"]);
   return `HTTP/1.1 200 OK\r\nConnection: close\r\nX-Request: ${name}\r\n` +
     "X-Seal: sealed\r\n";
--- a/packages/gateway/test/request_path_test.ts
+++ b/packages/gateway/test/request_path_test.ts
@@ -3,7 +3,7 @@
 import { Fixture, storedServer } from "./fixture.ts";
 import {
   FakeBackendServer,
-  rawHead,
+  rawResponseHead,
   startEventStream,
   streamEvent,
   writeSealedHead,
@@ -143,7 +143,7 @@
   for (const server of fixture.servers) {
     server.respond = (_response, received, socket) => {
       socket.write(
-        rawHead(received) +
+        rawResponseHead(received) +
           "\r\nhalf",
       );
       setTimeout(() => socket.resetAndDestroy(), 30);
@@ -161,7 +161,7 @@
   for (const server of fixture.servers) {
     server.respond = (_response, received, socket) => {
       socket.write(
-        rawHead(received) +
+        rawResponseHead(received) +
           "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
       );
       setTimeout(() => socket.end(), 30);
@@ -177,7 +177,7 @@
   for (const server of fixture.servers) {
     server.respond = (_response, received, socket) => {
       socket.end(
-        rawHead(received) +
+        rawResponseHead(received) +
           "Transfer-Encoding: chunked\r\n\r\n" +
           "5\r\nwhole\r\n0\r\n\r\n",
       );
@@ -196,7 +196,7 @@
   for (const server of fixture.servers) {
     server.respond = (_response, received, socket) => {
       socket.end(
-        rawHead(received) +
+        rawResponseHead(received) +
           "\r\npart or whole",
       );
     };
--- a/packages/gateway/test/request_task_test.ts
+++ b/packages/gateway/test/request_task_test.ts
@@ -1,8 +1,8 @@
 import { ServerLimits } from "@sycamorepulley/decisions";
 import type { ServerRecord } from "@sycamorepulley/decisions";
 import t from "tap";
-import type { Call } from "../src/front/parsed_request.ts";
-import type { Caller } from "../src/request/caller.ts";
+import type { ParsedRequest } from "../src/front/parsed_request.ts";
+import type { CallerConnection } from "../src/request/caller_connection.ts";
 import type { RequestContext } from "../src/request/request_context.ts";
 import { DrainAdmission } from "../src/request/drain_admission.ts";
 import { RequestTask } from "../src/request/request_task.ts";
@@ -32,7 +32,7 @@
     random: () => 0,
     log: { write: () => {} },
     metrics: {
-      waited: { observe: () => {} },
+      grantWait: { observe: () => {} },
       refusals: { inc: () => {} },
     },
     drainAdmission: new DrainAdmission(),
@@ -52,11 +52,15 @@
     findServer: () => SERVER,
   } as unknown as RequestContext;
   const caller = {
-    left: false,
-    begun: false,
-    refuse: (status: number) => refused.push(status),
-  } as unknown as Caller;
-  const call = { request: "r", headers: [], arrived: 0 } as unknown as Call;
+    disconnected: false,
+    responseStarted: false,
+    sendError: (status: number) => refused.push(status),
+  } as unknown as CallerConnection;
+  const call = {
+    requestId: "r",
+    forwardedHeaders: [],
+    arrivedAt: 0,
+  } as unknown as ParsedRequest;
   const resolved = {
     route: route(),
     service: "calls",
