--- a/packages/gateway/src/observe/event_log.ts
+++ b/packages/gateway/src/observe/event_log.ts
@@ -1,9 +1,10 @@
 /**
- * Structured lines on standard output, bounded in number and never waited for.
+ * Structured log lines on standard output, limited in number and never blocking.
  *
- * A reader of the output that stops reading would block a synchronous write and
- * with it every request. Lines go through one asynchronous write at a time, into
- * a bounded buffer; what does not fit is counted and said once there is room.
+ * If the reader of the output stops reading, a synchronous write would block and
+ * with it every request. Lines are therefore kept in a bounded buffer and written by
+ * one asynchronous write at a time. Lines that do not fit are counted, and the count
+ * is logged once there is space again.
  * @module
  */
 import "./log_environment.ts";
@@ -11,28 +12,29 @@
 import { Roarr } from "roarr";
 import type { LogEvent } from "./events.ts";
 
-/** Most lines of one kind of event in a second; others are counted. */
+/** Largest number of lines per second for each event; others are only counted. */
 const MAX_LINES_PER_SECOND = 100;
-/** Most bytes that wait for a slow reader. */
+/** Largest total length, in characters, of the lines that wait for a slow reader. */
 const MAX_BUFFERED_LENGTH = 256 * 1024;
+/** File descriptor. */
 const STANDARD_OUTPUT = 1;
 
-/** Where whole lines go. */
+/** Destination of complete log lines. */
 export abstract class LineSink {
-  /** False when the line found no room. */
+  /** Returns false if there was no space for the line. */
   abstract push(line: string): boolean;
 }
 
-/** Standard output, one asynchronous write at a time. */
+/** Writes lines to standard output, one asynchronous write at a time. */
 export class StandardOutputSink extends LineSink {
   #queued: string[] = [];
-  #bytes = 0;
+  #bufferedLength = 0;
   #writing = false;
 
   override push(line: string): boolean {
-    if (this.#bytes + line.length > MAX_BUFFERED_LENGTH) return false;
+    if (this.#bufferedLength + line.length > MAX_BUFFERED_LENGTH) return false;
     this.#queued.push(line);
-    this.#bytes += line.length;
+    this.#bufferedLength += line.length;
     if (!this.#writing) this.#flush();
     return true;
   }
@@ -61,16 +63,19 @@
           this.#write(bytes, from + written);
           return;
         }
-        // Nobody can be told that the output itself is gone.
+        // An error of the output itself can't be reported anywhere.
         this.#writing = false;
-        this.#bytes = this.#queued.reduce((sum, line) => sum + line.length, 0);
+        this.#bufferedLength = this.#queued.reduce(
+          (sum, line) => sum + line.length,
+          0,
+        );
         this.#flush();
       },
     );
   }
 }
 
-/** Writes events with the process's name; see the module for its bounds. */
+/** Logs events with the name of the process, within the limits stated above. */
 export class EventLog {
   readonly #sink: LineSink;
   readonly #logger: typeof Roarr;
@@ -120,12 +125,12 @@
     this.#omitted.set(name, (this.#omitted.get(name) ?? 0) + 1);
   }
 
-  /** States what was left out, once a second's budget begins anew. */
+  /** Logs how many lines were omitted, once a new second has begun for the event. */
   #logOmitted(): void {
     if (this.#omitted.size === 0) return;
     const now = this.#clock();
-    // A copy: a line that finds no room is counted here again, and the loop over
-    // the map itself would never end while the reader stands still.
+    // Iterates over a copy: a line that does not fit is counted in the map again, so
+    // a loop over the map itself would never end while nobody reads the output.
     for (const [of, lines] of [...this.#omitted]) {
       const budget = this.#budgets.get(of);
       if (budget !== undefined && now - budget.since < 1000) continue;
--- a/packages/gateway/src/observe/events.ts
+++ b/packages/gateway/src/observe/events.ts
@@ -1,6 +1,6 @@
-/** Every line that the gateway may log. Durations are milliseconds. @module */
+/** All events that the gateway may log. Durations are in milliseconds. @module */
 
-/** One decision, or one change of what the process believes. */
+/** A decision, or a change of what the process knows. */
 export type LogEvent =
   | { event: "started"; dataCentre: string; startTime: number }
   | { event: "stopping"; active: number; grace: number }
@@ -30,21 +30,21 @@
   | {
     event: "store_call_failed";
     step: string;
-    /** What was read or followed; empty for calls about the entry's lease. */
+    /** Prefix that was read or watched; empty for calls about the entry's lease. */
     prefix: string;
     reason: string;
     detail: string;
-    /** From its sending until it was given up. */
+    /** From sending the call until it was given up. */
     time: number;
   }
-  /** A peer was asked for newer state, or was sent it. */
+  /** Newer state was requested from a peer, or sent to one. */
   | { event: "state_requested"; state: string; from: string; revision: number }
   | {
     event: "state_sent";
     state: string;
     to: string;
     revision: number;
-    /** Bytes as they are sent. */
+    /** Bytes as sent. */
     size: number;
   }
   | {
@@ -77,28 +77,28 @@
     version: number;
     attempt: number;
     organisation: string;
-    /** Tokens that its quota is charged. */
+    /** Units charged to the quota: tokens, or 1 if the quota counts requests. */
     charge: number;
     /**
-     * Requests a second that the server stated, the entry that heard it, and how
-     * long ago. Absent while it states no limit.
+     * Requests per second that the server states, the entry that observed it, and
+     * the age of the observation. Absent while the server states no limit.
      */
     limit?: number;
     limitBy?: string;
     limitAge?: number;
   }
-  /** A server states a limit, or another one than before. */
+  /** A server states a limit for the first time, or a changed one. */
   | {
     event: "server_limited";
     server: string;
-    /** Requests a second, from all entries together. */
+    /** Requests per second, from all entries together. */
     perSecond: number;
-    /** The entry that heard it, and how long ago. */
+    /** The entry that observed the limit, and the age of the observation. */
     by: string;
     age: number;
   }
   | { event: "server_limit_ended"; server: string; by: string; age: number }
-  /** No decimal number; what was known before stays in force. */
+  /** The value is not a decimal number; the previous limit stays in force. */
   | { event: "server_limit_unreadable"; server: string; value: string }
   | {
     event: "refused";
@@ -108,17 +108,17 @@
     waited: number;
     retryAfter: number;
     version: number;
-    /** Empty where the request was refused before it was placed. */
+    /** Empty if the route requires no credential; absent before it is resolved. */
     organisation?: string;
     tierRank?: number;
     routeRank?: number;
-    /** The entry that decided, and what it saw; see `RefusalInputs`. */
+    /** The entry that decided, and the inputs of its decision (`RefusalInputs`). */
     by?: string;
     free?: number;
     waiting?: number;
     quotaWait?: number;
     standing?: string;
-    /** Prompt and expected output tokens, and those that its quota is charged. */
+    /** Prompt tokens, expected output tokens, and units charged to the quota. */
     promptTokens?: number;
     outputTokens?: number;
     charge?: number;
@@ -145,11 +145,11 @@
     status: number;
     first: number;
     time: number;
-    /** Prompt and most output tokens, and events passed on. */
+    /** Prompt tokens, expected output tokens, and number of times events were sent. */
     promptTokens: number;
     outputTokens: number;
     events: number;
-    /** Longest pause between parts of the answer. */
+    /** Longest pause between parts of the response. */
     longestPause: number;
   }
   | {
@@ -161,7 +161,7 @@
     granted: number;
     room: number;
     quota: number;
-    /** Shares that all entries have together, as this one counts them. */
+    /** Total shares of all entries, as this one counts them. */
     fleet: number;
   }
   | { event: "omitted"; of: string; lines: number };
--- a/packages/gateway/src/observe/load_report.ts
+++ b/packages/gateway/src/observe/load_report.ts
@@ -1,51 +1,49 @@
-/** How full services are and which limits their servers state. @module */
+/** Reports the load of services and the limits that their servers state. @module */
 import type { GrantClient } from "../peers/grant_client.ts";
 import type { EventLog } from "./event_log.ts";
 import type { GatewayMetrics } from "./metrics.ts";
 
-/** Logged each second and shown as gauges. */
+/** Logs the load of each service every second, and updates the gauges. */
 export class LoadReport {
-  readonly #granter: GrantClient;
+  readonly #grantClient: GrantClient;
   readonly #log: EventLog;
   readonly #metrics: GatewayMetrics;
-  readonly #shares: () => number;
+  readonly #totalShares: () => number;
 
   constructor(
     options: {
       grantClient: GrantClient;
       log: EventLog;
       metrics: GatewayMetrics;
-      /** Shares that all entries have together. */
+      /** Total shares of all entries. */
       totalShares: () => number;
     },
   ) {
-    this.#granter = options.grantClient;
+    this.#grantClient = options.grantClient;
     this.#log = options.log;
     this.#metrics = options.metrics;
-    this.#shares = options.totalShares;
+    this.#totalShares = options.totalShares;
   }
 
   log(): void {
-    const { fractions: parts } = this.#granter;
-    const fleet = Math.round(this.#shares() * 10) / 10;
-    for (const load of this.#granter.loads()) {
-      this.#log.write({ event: "load", ...load, ...parts, fleet });
+    const { fractions } = this.#grantClient;
+    const fleet = Math.round(this.#totalShares() * 10) / 10;
+    for (const load of this.#grantClient.loads()) {
+      this.#log.write({ event: "load", ...load, ...fractions, fleet });
     }
   }
 
-  /** Brings the gauges up to date. */
   updateGauges(): void {
-    const { waitingRequests: waiting, runningRequests: running } =
-      this.#metrics;
-    for (const load of this.#granter.loads()) {
+    const { waitingRequests, runningRequests } = this.#metrics;
+    for (const load of this.#grantClient.loads()) {
       const { service } = load;
-      waiting.set({ service }, load.waiting);
-      running.set({ service }, load.running);
+      waitingRequests.set({ service }, load.waiting);
+      runningRequests.set({ service }, load.running);
     }
     const { serverLimit, serverLimitAge } = this.#metrics;
     serverLimit.reset();
     serverLimitAge.reset();
-    for (const { server, limit, age } of this.#granter.limits.withAges()) {
+    for (const { server, limit, age } of this.#grantClient.limits.withAges()) {
       serverLimit.set({ server, by: limit.by }, limit.perSecond);
       serverLimitAge.set({ server }, age / 1000);
     }
--- a/packages/gateway/src/observe/log_environment.ts
+++ b/packages/gateway/src/observe/log_environment.ts
@@ -1,4 +1,4 @@
-/** roarr stays silent unless this is set before it loads. @module */
+/** Enables roarr, which logs only if this is set before it is loaded. @module */
 import process from "node:process";
 
 process.env.ROARR_LOG ??= "true";
--- a/packages/gateway/src/observe/metrics.ts
+++ b/packages/gateway/src/observe/metrics.ts
@@ -1,10 +1,10 @@
 /** Counters and histograms of one gateway, by `prom-client`. @module */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** Seconds; dense around the goals of 0.15 to 0.6 s. */
+/** Bounds of the buckets in seconds; dense around the goals of 0.15 to 0.6 s. */
 const BUCKETS = [0.002, 0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 5, 15];
 
-/** Every metric that the gateway states; names are part of its interface. */
+/** All metrics of the gateway; their names are part of its interface. */
 export class GatewayMetrics {
   readonly registry = new Registry();
 
--- a/packages/gateway/test/event_log_test.ts
+++ b/packages/gateway/test/event_log_test.ts
@@ -16,7 +16,7 @@
   return sink.lines.map((line) => JSON.parse(line).message);
 }
 
-t.test("a flood of one event is cut, counted and said", (t) => {
+t.test("lines of an event beyond its limit per second are omitted, counted, and the count is logged", (t) => {
   const sink = new CollectingSink();
   let now = 0;
   const log = new EventLog({ instance: "e", sink, clock: () => now });
@@ -24,18 +24,20 @@
     log.write({ event: "left", request: "r", state: "sent", time: 1 });
   }
   t.ok(sink.lines.length <= 100);
-  const written = sink.lines.length;
+  const writtenLines = sink.lines.length;
   now = 1500;
   log.write({ event: "dependency_regained", dependency: "store" });
-  t.same(messages(sink).slice(written), ["omitted", "dependency_regained"]);
-  const omitted = JSON.parse(sink.lines[written]!).context;
-  t.match(omitted, { of: "left", lines: 500 - written });
+  t.same(messages(sink).slice(writtenLines), [
+    "omitted",
+    "dependency_regained",
+  ]);
+  const omitted = JSON.parse(sink.lines[writtenLines]!).context;
+  t.match(omitted, { of: "left", lines: 500 - writtenLines });
   t.end();
 });
 
-t.test("a reader that stops reading blocks nothing and is told later", (t) => {
-  // The collector of the logs hangs. Lines that find no room are counted; none
-  // is waited for.
+t.test("lines that do not fit are counted, and the count is logged once there is space", (t) => {
+  // Guards against requests blocked by a log collector that has stopped reading.
   const sink = new CollectingSink();
   let now = 0;
   const log = new EventLog({ instance: "e", sink, clock: () => now });
--- a/packages/gateway/test/refusal_line_test.ts
+++ b/packages/gateway/test/refusal_line_test.ts
@@ -1,15 +1,13 @@
 import t from "tap";
 import { Fixture } from "./fixture.ts";
 
-t.test("a refusal's line says for whom and by what it was decided", async (t) => {
-  // A firm was told 429 in a busy minute. The line named neither the firm, nor
-  // whether a place was free, nor what its quota stood at: the on-call engineer
-  // could not tell a quota that is too low from servers that were full.
+t.test("the log line of a refusal names the organisation and the inputs of the decision", async (t) => {
+  // Without them, a 429 for a quota that is too low looks like one for full servers.
   const fixture = await Fixture.startReady();
   const headers = { "x-tokens": "90000,10" };
   await fixture.call("/stream/", { method: "POST", headers });
-  const seen = await fixture.call("/stream/", { method: "POST", headers });
-  t.equal(seen.status, 429);
+  const response = await fixture.call("/stream/", { method: "POST", headers });
+  t.equal(response.status, 429);
   const line = fixture.events
     .findLast(({ message }) => message === "refused");
   t.match(line?.context, {
