--- a/packages/gateway/src/backend/backend_connection.ts
+++ b/packages/gateway/src/backend/backend_connection.ts
@@ -1,9 +1,10 @@
 /**
- * One connection to one backend server, for one request at a time.
+ * A connection to a backend server, for one request at a time.
  *
- * The connection is opened before anything is sent on it, so that a failure to
- * connect is known to have run nothing; what fails later may have run. Bytes
- * that nobody asked for close it: they would be taken for the next answer.
+ * The connection is opened before anything is sent on it: if connecting fails, the
+ * request has certainly not run; after a later failure it may have run. Unsolicited
+ * bytes from the server close the connection, as they would be taken for the next
+ * response.
  * @module
  */
 import { connect } from "node:net";
@@ -15,36 +16,39 @@
 /** Why no connection could be opened. */
 export type ConnectFailure = "connection_refused" | "connection_timeout";
 
-/** What is sent to a backend server. */
+/** A request to a backend server. */
 export type BackendRequest = {
   method: string;
   target: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   headers: string[];
   body: Buffer | undefined;
 };
 
-/** Status and headers of an answer; names are lower case. */
+/** Status and headers of a response; header names are in lower case. */
 export type ResponseHead = {
   status: number;
   headers: Record<string, string | string[] | undefined>;
 };
 
-/** Hears one answer; after `ended` or `failed` nothing more comes. */
+/** Receives one response; nothing follows `onEnd` or `onError`. */
 export abstract class ResponseListener {
   abstract onHead(head: ResponseHead): void;
   abstract onData(chunk: Buffer): void;
-  /** The answer is whole as far as its framing tells. */
+  /** The response is complete as far as its framing tells. */
   abstract onEnd(): void;
   abstract onError(detail: string): void;
 }
 
-/** Time a server holds an idle connection open, if it does not say, in ms. */
+/** Idle timeout of a server that does not state one, in milliseconds. */
 const DEFAULT_IDLE_TIMEOUT = 1000;
-/** Milliseconds off the stated time: an answer and a request may cross. */
+/**
+ * Milliseconds subtracted from a stated idle timeout, as a request may cross the
+ * closing of its connection on the way.
+ */
 const IDLE_MARGIN = 1000;
 
-/** See the module. */
+/** Wraps a connected socket in an HTTP client that never reconnects. */
 export class BackendConnection {
   readonly #socket: Socket;
   readonly #client: Client;
@@ -57,8 +61,8 @@
     this.#socket = socket;
     this.#idleSince = now;
     socket.once("close", () => this.#closed = true);
-    // undici takes a reset for the end of an answer that has no length; such an
-    // answer would look whole, and isn't. This listener hears the reset first.
+    // undici takes a reset for the end of a response without a length, which would
+    // then look complete although it is truncated. This listener is called first.
     socket.on("error", () => {
       this.#wasReset = true;
       socket.destroy();
@@ -71,13 +75,14 @@
       keepAliveTimeout: 60_000,
       maxHeaderSize: 64 * 1024,
       connect: (_options, callback) => {
-        // A client reconnects by itself; a request must never follow it there.
+        // The client reconnects on its own, but a request must not be sent on a new
+        // connection.
         if (socketUsed || this.#closed) {
           callback(new Error("the connection is closed"), null);
           return;
         }
         socketUsed = true;
-        // The client expects a connection later, never within its own call.
+        // The client expects the callback to be called asynchronously.
         queueMicrotask(() => callback(null, socket));
       },
     });
@@ -106,18 +111,21 @@
     });
   }
 
-  /** False when the server may be closing it; `strict` leaves a wide margin. */
+  /**
+   * False if the server may be closing the connection. `strict`: only a quarter of
+   * the idle timeout is used, for requests that must not be repeated.
+   */
   isUsable(now: number, strict: boolean): boolean {
     if (this.#closed || this.#socket.destroyed) return false;
     const idle = now - this.#idleSince;
     return idle < (strict ? this.#idleTimeout / 4 : this.#idleTimeout);
   }
 
-  /** Sends one request; the result aborts it, which closes the connection. */
+  /** Sends a request. The returned function aborts it by closing the connection. */
   send(request: BackendRequest, listener: ResponseListener): () => void {
     const handler = new ResponseHandler(listener, {
       onHeaders: (headers) => this.#readIdleTimeout(headers),
-      cut: () => this.#wasReset,
+      wasReset: () => this.#wasReset,
     });
     this.#client.dispatch({
       method: request.method as Dispatcher.HttpMethod,
@@ -132,7 +140,7 @@
     };
   }
 
-  /** States that the last answer is over, whole, at `now`. */
+  /** Marks the connection as idle since `now`, after a complete response. */
   markIdle(now: number): void {
     this.#idleSince = now;
   }
@@ -148,35 +156,38 @@
       this.#idleTimeout = 0;
       return;
     }
-    const stated = /timeout=(\d+)/.exec(String(headers["keep-alive"] ?? ""))
+    const statedSeconds = /timeout=(\d+)/.exec(
+      String(headers["keep-alive"] ?? ""),
+    )
       ?.[1];
-    if (stated === undefined) return;
-    this.#idleTimeout = Math.max(0, Number(stated) * 1000 - IDLE_MARGIN);
+    if (statedSeconds === undefined) return;
+    this.#idleTimeout = Math.max(0, Number(statedSeconds) * 1000 - IDLE_MARGIN);
   }
 }
 
-/** What the handler of an answer needs of its connection. */
+/** What the handler of a response needs from its connection. */
 type ConnectionHooks = {
   onHeaders: (headers: ResponseHead["headers"]) => void;
-  /** True if the connection ended before the answer; asked at its end. */
-  cut: () => boolean;
+  /** True if the connection was reset; checked at the end of the response. */
+  wasReset: () => boolean;
 };
 
 class ResponseHandler implements Dispatcher.DispatchHandler {
   readonly #listener: ResponseListener;
-  readonly #channel: ConnectionHooks;
-  #over = false;
+  readonly #hooks: ConnectionHooks;
+  #finished = false;
 
   constructor(
     listener: ResponseListener,
-    channel: ConnectionHooks,
+    hooks: ConnectionHooks,
   ) {
     this.#listener = listener;
-    this.#channel = channel;
+    this.#hooks = hooks;
   }
 
+  /** Passes nothing on to the listener from now on. */
   detach(): void {
-    this.#over = true;
+    this.#finished = true;
   }
 
   onRequestStart(): void {}
@@ -186,8 +197,8 @@
     status: number,
     headers: ResponseHead["headers"],
   ): void {
-    if (this.#over || status < 200) return;
-    this.#channel.onHeaders(headers);
+    if (this.#finished || status < 200) return;
+    this.#hooks.onHeaders(headers);
     this.#listener.onHead({ status, headers });
   }
 
@@ -195,22 +206,23 @@
     _controller: Dispatcher.DispatchController,
     chunk: Buffer,
   ): void {
-    if (!this.#over) this.#listener.onData(chunk);
+    if (!this.#finished) this.#listener.onData(chunk);
   }
 
   onResponseEnd(): void {
-    if (this.#over) return;
-    this.#over = true;
-    if (this.#channel.cut()) this.#listener.onError("cut");
-    else this.#listener.onEnd();
+    if (this.#finished) return;
+    this.#finished = true;
+    if (this.#hooks.wasReset()) {
+      this.#listener.onError("cut");
+    } else this.#listener.onEnd();
   }
 
   onResponseError(
     _controller: Dispatcher.DispatchController,
     error: Error,
   ): void {
-    if (this.#over) return;
-    this.#over = true;
+    if (this.#finished) return;
+    this.#finished = true;
     this.#listener.onError(error.message);
   }
 }
--- a/packages/gateway/src/backend/connection_pool.ts
+++ b/packages/gateway/src/backend/connection_pool.ts
@@ -1,4 +1,4 @@
-/** Idle connections to backend servers, by start of the server. @module */
+/** Pool of idle connections to backend servers. @module */
 import type { ServerRecord } from "@sycamorepulley/decisions";
 import { incarnationOf } from "@sycamorepulley/decisions";
 import { Result } from "true-myth/result";
@@ -6,13 +6,13 @@
 import type { ConnectFailure } from "./backend_connection.ts";
 
 /**
- * Milliseconds until an unanswered connect counts as failed. Data centres are
- * 1.4 ms apart; a lost first packet is sent again by the kernel after a second
- * only, and callers wait 0.3 s for a first token.
+ * Milliseconds until an attempt to connect times out. Data centres are 1.4 ms apart,
+ * and callers wait 0.3 s for a first token. The kernel resends a lost first packet
+ * only after a second, so waiting for it would not help.
  */
 const CONNECT_TIMEOUT = 300;
 
-/** Keeps connections for the next request. */
+/** Keeps idle connections for later requests, by incarnation of the server. */
 export class ConnectionPool {
   readonly #idle = new Map<string, BackendConnection[]>();
   readonly #clock: () => number;
@@ -22,9 +22,9 @@
   }
 
   /**
-   * A connection that nothing was sent on since it was last idle. `strict`: the
-   * request may not be repeated, so a connection that the server could be
-   * closing at this moment is not used.
+   * Takes an idle connection, or opens a new one. `strict`: the request must not be
+   * repeated, so a connection that the server could be closing at this moment is not
+   * used.
    */
   async acquire(
     server: ServerRecord,
@@ -32,10 +32,12 @@
   ): Promise<Result<BackendConnection, ConnectFailure>> {
     const idle = this.#idle.get(incarnationOf(server)) ?? [];
     for (;;) {
-      const channel = idle.pop();
-      if (channel === undefined) break;
-      if (channel.isUsable(this.#clock(), strict)) return Result.ok(channel);
-      channel.close();
+      const connection = idle.pop();
+      if (connection === undefined) break;
+      if (connection.isUsable(this.#clock(), strict)) {
+        return Result.ok(connection);
+      }
+      connection.close();
     }
     return await BackendConnection.open({
       host: server.host,
@@ -45,39 +47,42 @@
     });
   }
 
-  /** Keeps a connection whose last answer was whole. */
-  release(server: ServerRecord, channel: BackendConnection): void {
+  /** Returns a connection to the pool after a complete response. */
+  release(server: ServerRecord, connection: BackendConnection): void {
     const now = this.#clock();
-    channel.markIdle(now);
-    const name = incarnationOf(server);
-    const idle = this.#idle.get(name) ?? [];
-    if (idle.length >= server.slots || !channel.isUsable(now, false)) {
-      channel.close();
+    connection.markIdle(now);
+    const incarnation = incarnationOf(server);
+    const idle = this.#idle.get(incarnation) ?? [];
+    if (idle.length >= server.slots || !connection.isUsable(now, false)) {
+      connection.close();
       return;
     }
-    idle.push(channel);
-    this.#idle.set(name, idle);
+    idle.push(connection);
+    this.#idle.set(incarnation, idle);
   }
 
-  /** Closes connections that have been idle too long, and those of servers gone. */
+  /**
+   * Closes connections that have been idle for too long, and those to servers that
+   * are not in `servers`.
+   */
   closeStale(servers: readonly ServerRecord[]): void {
     const now = this.#clock();
     const known = new Set(servers.map(incarnationOf));
-    for (const [name, idle] of this.#idle) {
-      const kept = idle.filter((channel) =>
-        known.has(name) && channel.isUsable(now, false)
+    for (const [incarnation, idle] of this.#idle) {
+      const kept = idle.filter((connection) =>
+        known.has(incarnation) && connection.isUsable(now, false)
       );
-      for (const channel of idle) {
-        if (!kept.includes(channel)) channel.close();
+      for (const connection of idle) {
+        if (!kept.includes(connection)) connection.close();
       }
-      if (kept.length === 0) this.#idle.delete(name);
-      else this.#idle.set(name, kept);
+      if (kept.length === 0) this.#idle.delete(incarnation);
+      else this.#idle.set(incarnation, kept);
     }
   }
 
   close(): void {
     for (const idle of this.#idle.values()) {
-      for (const channel of idle) channel.close();
+      for (const connection of idle) connection.close();
     }
     this.#idle.clear();
   }
--- a/packages/gateway/src/backend/usable_servers.ts
+++ b/packages/gateway/src/backend/usable_servers.ts
@@ -1,8 +1,8 @@
-/** The backend servers that may be sent work, by their starts. @module */
+/** The backend servers that may be sent requests. @module */
 import { incarnationOf } from "@sycamorepulley/decisions";
 import type { ServerDirectory, ServerRecord } from "@sycamorepulley/decisions";
 
-/** See the module. */
+/** Caches the usable servers of a directory by their incarnations. */
 export class UsableServers {
   readonly #directory: ServerDirectory;
   readonly #servers = new Map<string, ServerRecord>();
@@ -11,7 +11,7 @@
     this.#directory = directory;
   }
 
-  /** Takes over what the directory says now; the result is all of them. */
+  /** Reloads the usable servers from the directory, and returns them. */
   refresh(now: number): ServerRecord[] {
     const usable = this.#directory.usable(now);
     this.#servers.clear();
@@ -25,7 +25,7 @@
     return [...this.#servers.values()];
   }
 
-  /** The server as it is registered now; `undefined` once it may not be used. */
+  /** The current record of a server; `undefined` if it may not be used. */
   find(incarnation: string): ServerRecord | undefined {
     const record = this.#servers.get(incarnation);
     return record && this.#directory.mayUse(record) ? record : undefined;
--- a/packages/gateway/src/front/forwarded_headers.ts
+++ b/packages/gateway/src/front/forwarded_headers.ts
@@ -1,57 +1,63 @@
-/** Which headers go on to the other side. @module */
+/** Selects the headers that are forwarded to a server or a caller. @module */
 import { CONNECTION_HEADERS } from "@sycamorepulley/protocol";
 
-/** A body's length is stated anew by whoever sends it on. */
+/** Connection headers, and the content length, which is set anew when forwarding. */
 const NEVER_FORWARDED: ReadonlySet<string> = new Set([
   ...CONNECTION_HEADERS,
   "content-length",
 ]);
 
 /**
- * Names and values in turn, as received, less those of the connection, those
- * that its `Connection` header names, and `dropped` (lower case). Headers of
- * `kept` can't be taken out by a caller's `Connection`.
+ * Alternating names and values as received, without connection headers, headers that
+ * the `Connection` header lists, and those in `droppedHeaders` (lower case). A caller
+ * can't remove headers in `protectedHeaders` by listing them in `Connection`.
  */
 export function forwardedHeaders(
-  raw: readonly string[],
+  rawHeaders: readonly string[],
   droppedHeaders: ReadonlySet<string>,
   protectedHeaders: ReadonlySet<string>,
 ): string[] {
-  const named = connectionOptions(raw);
+  const listed = connectionOptions(rawHeaders);
   const forwarded: string[] = [];
-  for (let index = 0; index + 1 < raw.length; index += 2) {
-    const name = raw[index]!;
-    const lower = name.toLowerCase();
-    if (NEVER_FORWARDED.has(lower) || droppedHeaders.has(lower)) continue;
-    if (named.has(lower) && !protectedHeaders.has(lower)) continue;
-    forwarded.push(name, raw[index + 1]!);
+  for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
+    const name = rawHeaders[index]!;
+    const lowerCaseName = name.toLowerCase();
+    if (
+      NEVER_FORWARDED.has(lowerCaseName) || droppedHeaders.has(lowerCaseName)
+    ) {
+      continue;
+    }
+    if (listed.has(lowerCaseName) && !protectedHeaders.has(lowerCaseName)) {
+      continue;
+    }
+    forwarded.push(name, rawHeaders[index + 1]!);
   }
   return forwarded;
 }
 
-/** The headers of an answer that go to the caller. */
+/** The headers of a response that are forwarded to the caller. */
 export function responseHeaders(
   headers: Record<string, string | string[] | undefined>,
 ): Record<string, string | string[]> {
-  const named = new Set(
+  const listed = new Set(
     String(headers.connection ?? "").toLowerCase().split(/\s*,\s*/),
   );
   const kept: Record<string, string | string[]> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || named.has(name)) continue;
+    if (value === undefined || listed.has(name)) continue;
     if (NEVER_FORWARDED.has(name)) continue;
     kept[name] = value;
   }
   return kept;
 }
 
-function connectionOptions(raw: readonly string[]): Set<string> {
-  const named = new Set<string>();
-  for (let index = 0; index + 1 < raw.length; index += 2) {
-    if (raw[index]!.toLowerCase() !== "connection") continue;
-    for (const name of raw[index + 1]!.split(",")) {
-      named.add(name.trim().toLowerCase());
+function connectionOptions(rawHeaders: readonly string[]): Set<string> {
+  const listed = new Set<string>();
+  for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
+    if (rawHeaders[index]!.toLowerCase() !== "connection") continue;
+    for (const name of rawHeaders[index + 1]!.split(",")) {
+      listed.add(name.trim().toLowerCase());
     }
   }
-  return named;
+  return listed;
 }
--- a/packages/gateway/src/front/header_names.ts
+++ b/packages/gateway/src/front/header_names.ts
@@ -1,28 +1,28 @@
-/** The names under which a platform's callers and servers put things. @module */
+/** Names of the headers that a platform's callers and servers use. @module */
 
-/** Header names as sent; they are compared without regard to case. */
+/** Header names as sent; compared case-insensitively. */
 export type HeaderNames = {
-  /** Names one try of one request; servers echo it. */
+  /** Identifies one attempt of one request by the caller; servers echo it. */
   requestId: string;
   credential: string;
-  /** Set by the gateway: whose credential it was. */
+  /** Set by the gateway: the organisation that the credential belongs to. */
   organisation: string;
-  /** Milliseconds that are left for the request. */
+  /** Remaining time for the request in milliseconds. */
   remainingTime: string;
-  /** Set by the gateway: the server that is meant. */
+  /** Set by the gateway: id of the server that the request is meant for. */
   expectedServer: string;
-  /** A server's word that it did not run the request. */
+  /** Set by a server that did not run the request. */
   notRun: string;
-  /** Requests a second that a server accepts from all entries together. */
+  /** Requests per second that a server accepts from all entries together. */
   serverLimit: string;
-  /** Marks an answer as a server's own. */
+  /** Set by a server on its own responses, which tells them from those of others. */
   seal: string;
-  /** Prompt tokens and most output tokens. */
+  /** Prompt tokens and largest number of output tokens, separated by a comma. */
   tokenUsage: string;
-  /** A caller's estimate of the tokens of its answer. */
+  /** A caller's estimate of the output tokens. */
   expectedOutputTokens: string;
-  /** Where a stream goes on. */
+  /** Id of the last event received, to resume a stream after it. */
   lastEventId: string;
-  /** Headers that only the system itself may set; dropped from callers. */
+  /** Headers that only the system may set; dropped from requests of callers. */
   reserved: readonly string[];
 };
--- a/packages/gateway/src/front/http_frontend.ts
+++ b/packages/gateway/src/front/http_frontend.ts
@@ -1,4 +1,4 @@
-/** Callers' HTTP server: connections, limits, a graceful end. @module */
+/** The HTTP server for callers: connections, limits, graceful shutdown. @module */
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import type { Socket } from "node:net";
@@ -7,31 +7,31 @@
 import type { CallerLimits } from "../state/gateway_configuration.ts";
 
 /**
- * Milliseconds beyond the stated idle time for which a connection is kept: a
- * caller that uses it at the last moment must not meet its closing.
+ * Milliseconds for which an idle connection is kept beyond the announced idle timeout,
+ * so that a request sent at the last moment doesn't arrive as the connection closes.
  */
 const IDLE_MARGIN = 3000;
-/** Milliseconds between checks of connections that are slow to send a request. */
+/** Milliseconds between checks for connections that are slow to send a request. */
 const CONNECTION_CHECK_INTERVAL = 500;
-/** Largest head that is read at all; the configured bound is checked after. */
+/** Largest head, in bytes, that is read at all; the configured limit applies later. */
 const MAX_HEAD_BYTES = 64 * 1024;
-/** Milliseconds for a whole body: callers' longest deadline. */
+/** Milliseconds to receive a whole request: the longest deadline of callers. */
 const REQUEST_TIMEOUT = 15_000;
 
-/** Serves one request to its end. */
+/** Handles one request to its end. */
 export type HandleRequest = (
   request: IncomingMessage,
   response: ServerResponse,
 ) => void;
 
-/** See the module. */
+/** Accepts callers' connections and passes their requests to a handler. */
 export class HttpFrontend {
   readonly #server: Server;
-  /** Connections that this side has ended and the caller not yet. */
+  /** Connections that the gateway has ended and the caller has not yet. */
   readonly #endedConnections = new WeakSet<Socket>();
   #draining = false;
 
-  constructor(serve: HandleRequest) {
+  constructor(handle: HandleRequest) {
     this.#server = createServer(
       {
         maxHeaderSize: MAX_HEAD_BYTES,
@@ -43,22 +43,23 @@
         response.sendDate = false;
         if (this.#draining) response.setHeader("connection", "close");
         if (this.#endedConnections.has(request.socket)) {
-          // It crossed the end of its connection. Passed on, it would run, and
-          // its answer would have nowhere to go.
+          // The request was sent before the end of its connection arrived at the
+          // caller. If handled, it would run, but its response could not be sent.
           request.socket.destroy();
           return;
         }
-        // An answer that began before the stop did not say so: its connection
-        // would be kept, and a request on it taken when no time is left for it.
+        // A response that began before draining has no `Connection: close` header:
+        // its connection would be kept alive, and a request on it accepted when no
+        // time remains for it.
         response.once("finish", () => {
           if (this.#draining) this.#endConnection(request.socket);
         });
-        serve(request, response);
+        handle(request, response);
       },
     );
   }
 
-  /** Applies the limits of a new configuration to what arrives from now on. */
+  /** Applies the limits of a new configuration to requests from now on. */
   applyLimits(limits: CallerLimits): void {
     this.#server.headersTimeout = limits.headerTimeout;
     this.#server.keepAliveTimeout = limits.idleTimeout + IDLE_MARGIN;
@@ -68,23 +69,22 @@
     return listen(this.#server, address);
   }
 
-  /** Answers ask connections to end; new connections are still taken. */
+  /** Responses now close their connections; new connections are still accepted. */
   startDraining(): void {
     this.#draining = true;
   }
 
-  /** Takes no connection any more and ends those that are idle. */
+  /** Accepts no more connections, and closes idle ones. */
   stopListening(): void {
     this.#server.close();
     this.closeIdleConnections();
   }
 
-  /** Ends connections that no request is on. */
+  /** Closes connections without a request in progress. */
   closeIdleConnections(): void {
     this.#server.closeIdleConnections();
   }
 
-  /** Ends whatever is left. */
   closeAllConnections(): void {
     this.#server.closeAllConnections();
   }
--- a/packages/gateway/src/front/parsed_request.ts
+++ b/packages/gateway/src/front/parsed_request.ts
@@ -1,64 +1,73 @@
-/** One caller's request as received. @module */
+/** Parses the request of a caller. @module */
 import type { IncomingMessage } from "node:http";
 import type { Cost } from "@sycamorepulley/decisions";
 import { forwardedHeaders } from "./forwarded_headers.ts";
 import type { HeaderNames } from "./header_names.ts";
 
-/** See the fields. Times are milliseconds. */
+/** A caller's request as received. Times are in milliseconds. */
 export type ParsedRequest = {
-  /** The caller's name for this try. */
+  /** Identifies this attempt of the caller; its own retries have other ids. */
   requestId: string;
   method: string;
   target: string;
   host: string;
   credential: string | undefined;
-  /** What it states of its size. */
+  /** Prompt tokens and largest number of output tokens, as the caller states. */
   statedTokens: Cost | undefined;
-  /** Tokens that it expects its answer to have. */
+  /** The caller's estimate of the output tokens. */
   expectedOutputTokens: number | undefined;
-  /** How long the caller waits from its sending. */
+  /** How long the caller waits from the time of sending. */
   remainingTime: number | undefined;
-  /** Headers to hand on, names and values in turn. */
+  /** Headers to forward to the server: alternating names and values. */
   forwardedHeaders: string[];
   arrivedAt: number;
 };
 
-/** Reads callers' requests by one platform's names. */
+/** Parses callers' requests with the header names of one platform. */
 export class RequestParser {
-  readonly #names: HeaderNames;
+  readonly #headerNames: HeaderNames;
   readonly #droppedHeaders: ReadonlySet<string>;
   readonly #protectedHeaders: ReadonlySet<string>;
 
-  constructor(names: HeaderNames) {
-    this.#names = names;
+  constructor(headerNames: HeaderNames) {
+    this.#headerNames = headerNames;
     this.#droppedHeaders = new Set(
       [
-        ...names.reserved,
-        names.credential,
-        names.organisation,
-        names.expectedServer,
-        names.remainingTime,
+        ...headerNames.reserved,
+        headerNames.credential,
+        headerNames.organisation,
+        headerNames.expectedServer,
+        headerNames.remainingTime,
       ].map((name) => name.toLowerCase()),
     );
     this.#protectedHeaders = new Set(
-      [names.requestId, names.tokenUsage, names.lastEventId, "host"]
+      [
+        headerNames.requestId,
+        headerNames.tokenUsage,
+        headerNames.lastEventId,
+        "host",
+      ]
         .map((name) => name.toLowerCase()),
     );
   }
 
   parse(message: IncomingMessage, now: number): ParsedRequest {
-    const names = this.#names;
+    const headerNames = this.#headerNames;
     return {
-      requestId: headerValue(message, names.requestId) ?? "",
+      requestId: headerValue(message, headerNames.requestId) ?? "",
       method: message.method ?? "GET",
       target: message.url ?? "/",
       host: message.headers.host ?? "",
-      credential: headerValue(message, names.credential),
-      statedTokens: parseTokenUsage(headerValue(message, names.tokenUsage)),
+      credential: headerValue(message, headerNames.credential),
+      statedTokens: parseTokenUsage(
+        headerValue(message, headerNames.tokenUsage),
+      ),
       expectedOutputTokens: parsePositive(
-        headerValue(message, names.expectedOutputTokens),
+        headerValue(message, headerNames.expectedOutputTokens),
+      ),
+      remainingTime: parsePositive(
+        headerValue(message, headerNames.remainingTime),
       ),
-      remainingTime: parsePositive(headerValue(message, names.remainingTime)),
       forwardedHeaders: forwardedHeaders(
         message.rawHeaders,
         this.#droppedHeaders,
--- a/packages/gateway/src/front/status_server.ts
+++ b/packages/gateway/src/front/status_server.ts
@@ -1,4 +1,4 @@
-/** Pages for the balancer and for operators. @module */
+/** HTTP endpoints for the load balancer and for operators. @module */
 import { createServer } from "node:http";
 import type { Server } from "node:http";
 import polka from "polka";
@@ -10,13 +10,13 @@
 /** Options of {@link StatusServer}. */
 export type StatusServerOptions = {
   metrics: GatewayMetrics;
-  /** Whether new callers should be sent here. */
+  /** Whether the load balancer should send new callers to this entry. */
   isReady: () => boolean;
-  /** Brings gauges up to date. */
+  /** Updates the gauges before metrics are read. */
   updateGauges: () => void;
 };
 
-/** `/readiness` for the balancer; `/metrics` on an address of its own. */
+/** Serves `/readiness` for the load balancer, and `/metrics`. */
 export class StatusServer {
   readonly #options: StatusServerOptions;
   readonly #servers: Server[] = [];
@@ -25,12 +25,15 @@
     this.#options = options;
   }
 
-  /** Resolves to the port of the balancer's page. */
+  /**
+   * Listens on both addresses, or once if they are the same. Resolves to the port of
+   * the readiness address.
+   */
   async listen(readiness: Address, metrics: Address): Promise<number> {
     const port = await this.#start(readiness);
-    const same = readiness.host === metrics.host &&
+    const sameAddress = readiness.host === metrics.host &&
       readiness.port === metrics.port;
-    if (!same) await this.#start(metrics);
+    if (!sameAddress) await this.#start(metrics);
     return port;
   }
 
@@ -42,18 +45,19 @@
   }
 
   #start(address: Address): Promise<number> {
-    const { metrics, isReady: ready, updateGauges: refresh } = this.#options;
+    const { metrics, isReady, updateGauges } = this.#options;
     const application = polka()
       .get("/readiness", (_request, response) => {
-        response.statusCode = ready() ? 200 : 503;
-        response.end(ready() ? "ready\n" : "not ready\n");
+        response.statusCode = isReady() ? 200 : 503;
+        response.end(isReady() ? "ready\n" : "not ready\n");
       })
       .get("/metrics", async (_request, response) => {
-        refresh();
+        updateGauges();
         response.setHeader("content-type", metrics.registry.contentType);
         response.end(await metrics.registry.metrics());
       });
-    // polka takes requests only of servers that it starts itself.
+    // polka only handles requests of servers that it creates itself, so its handler
+    // is called directly.
     const server = createServer((request, response) =>
       application.handler(request as Request, response)
     );
