--- a/packages/gateway/src/request/backend_headers.ts
+++ b/packages/gateway/src/request/backend_headers.ts
@@ -1,47 +1,52 @@
-/** Headers that a backend server is sent, and what names a request. @module */
+/** Headers sent to a backend server, and the fingerprint of a request. @module */
 import { createHash } from "node:crypto";
 import type { ServerRecord } from "@sycamorepulley/decisions";
 import type { ParsedRequest } from "../front/parsed_request.ts";
 import type { HeaderNames } from "../front/header_names.ts";
 import type { ResolvedRequest } from "./resolve_request.ts";
 
-/** Names and values in turn; `lastEvent`: where a resumed stream goes on. */
+/**
+ * Alternating names and values. `lastEventId`: id of the last event passed on, if
+ * the request resumes a stream.
+ */
 export function backendHeaders(
   options: {
-    names: HeaderNames;
-    call: ParsedRequest;
+    headerNames: HeaderNames;
+    parsed: ParsedRequest;
     resolved: ResolvedRequest;
     server: ServerRecord;
-    lastEvent: string | undefined;
+    lastEventId: string | undefined;
     now: number;
   },
 ): string[] {
-  const { names, call, resolved, server, lastEvent, now } = options;
-  const { organisation, deadline: limitAt } = resolved;
-  const headers = lastEvent === undefined
-    ? [...call.forwardedHeaders]
-    : withoutHeader(call.forwardedHeaders, names.lastEventId);
-  const remaining = Math.max(1, Math.floor(limitAt - now));
-  headers.push(names.remainingTime, String(remaining));
-  headers.push(names.expectedServer, server.id);
-  if (organisation !== "") headers.push(names.organisation, organisation);
-  if (lastEvent !== undefined) headers.push(names.lastEventId, lastEvent);
+  const { headerNames, parsed, resolved, server, lastEventId, now } = options;
+  const { organisation, deadline } = resolved;
+  const headers = lastEventId === undefined
+    ? [...parsed.forwardedHeaders]
+    : withoutHeader(parsed.forwardedHeaders, headerNames.lastEventId);
+  const remaining = Math.max(1, Math.floor(deadline - now));
+  headers.push(headerNames.remainingTime, String(remaining));
+  headers.push(headerNames.expectedServer, server.id);
+  if (organisation !== "") headers.push(headerNames.organisation, organisation);
+  if (lastEventId !== undefined) {
+    headers.push(headerNames.lastEventId, lastEventId);
+  }
   return headers;
 }
 
 /**
- * The same for each try of one request, whoever its caller sends it to;
- * `ownName`: the header that each try has a value of its own in.
+ * Hash that is the same for all attempts of one request, at whichever entry they
+ * arrive. `requestIdHeader`: the header that differs from attempt to attempt.
  */
 export function requestFingerprint(
-  call: ParsedRequest,
+  parsed: ParsedRequest,
   body: Buffer | undefined,
   requestIdHeader: string,
 ): string {
   const hash = createHash("sha1");
-  hash.update(`${call.method} ${call.host}${call.target}\n`);
-  hash.update(`${call.credential ?? ""}\n`);
-  for (const part of withoutHeader(call.forwardedHeaders, requestIdHeader)) {
+  hash.update(`${parsed.method} ${parsed.host}${parsed.target}\n`);
+  hash.update(`${parsed.credential ?? ""}\n`);
+  for (const part of withoutHeader(parsed.forwardedHeaders, requestIdHeader)) {
     hash.update(`${part}\n`);
   }
   if (body !== undefined) hash.update(body);
--- a/packages/gateway/src/request/caller_connection.ts
+++ b/packages/gateway/src/request/caller_connection.ts
@@ -1,4 +1,4 @@
-/** The caller's side of one request: its body, its leaving, its answer. @module */
+/** The caller's side of one request: its body, disconnect and response. @module */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { Result } from "true-myth/result";
 import type { ResponseHead } from "../backend/backend_connection.ts";
@@ -6,7 +6,7 @@
 import { sendErrorResponse } from "./error_response.ts";
 import type { ErrorReason } from "./error_response.ts";
 
-/** Writes at most one answer; knows when the caller has left. */
+/** Reads the body, sends at most one response, and notices a disconnect. */
 export class CallerConnection {
   readonly #request: IncomingMessage;
   readonly #response: ServerResponse;
@@ -18,8 +18,8 @@
     this.#request = request;
     this.#response = response;
     const disconnect = () => this.#handleDisconnect();
-    // The socket tells at once; the request's own events come only while its
-    // body is read.
+    // The socket reports a disconnect at once; the request emits its own events
+    // only while its body is being read.
     request.socket.once("end", disconnect);
     request.socket.once("close", disconnect);
     response.once("close", () => {
@@ -29,7 +29,7 @@
     });
   }
 
-  /** Calls `action` when the caller leaves, once. */
+  /** Calls `action` once when the caller disconnects. */
   onDisconnect(action: () => void): void {
     this.#onDisconnect = action;
   }
@@ -38,12 +38,15 @@
     return this.#disconnected;
   }
 
-  /** True once a part of a server's answer was passed on. */
+  /** True once a part of a server's response was passed on. */
   get responseStarted(): boolean {
     return this.#response.headersSent;
   }
 
-  /** The whole body, or `undefined` if it is longer than `largest` bytes. */
+  /**
+   * Reads the whole body; `undefined` if it is empty. Fails if it is larger than
+   * `maxBytes` or ends early.
+   */
   readBody(
     maxBytes: number,
   ): Promise<Result<Buffer | undefined, "too_large" | "cut">> {
@@ -69,7 +72,7 @@
     sendErrorResponse(this.#response, status, reason, retryAfter);
   }
 
-  /** Passes a whole answer on. */
+  /** Sends a complete response of a server. */
   sendResponse(head: ResponseHead, body: Buffer): void {
     if (this.#disconnected) return;
     const headers = responseHeaders(head.headers);
@@ -93,8 +96,10 @@
   }
 
   /**
-   * Ends a stream whose server's last part was `unframed` or not. Its end can't
-   * be told from a crash, so a caller that was promised a framed end gets none.
+   * Ends a stream. The end of a close-delimited response (one that ends with its
+   * connection) can't be told from a crash of its server. A caller whose own
+   * response is chunked would take the end for a complete stream, so its
+   * connection is aborted instead.
    */
   endStream(closeDelimited: boolean): void {
     if (this.#disconnected) return;
@@ -102,15 +107,15 @@
     else this.#response.end();
   }
 
-  /** Ends the connection, so that the answer can't look whole. */
+  /** Closes the connection, so that the response can't be taken for complete. */
   abortResponse(): void {
     this.#response.destroy();
   }
 
   /**
-   * Lets the answer end with its connection, as its server's does. A server that
-   * crashes closes its connections too: stated as a length, what had come of the
-   * answer until then would look whole.
+   * Makes the response end with its connection, as the server's does. A server that
+   * crashes closes its connections too; with a content length, a truncated body
+   * would look complete to the caller.
    */
   #useCloseDelimiting(): void {
     this.#closeDelimited = true;
@@ -125,7 +130,7 @@
   }
 }
 
-/** True for an answer that ends with its connection, whole or not. */
+/** True if only the end of the connection marks the end of the response. */
 export function isCloseDelimited(head: ResponseHead): boolean {
   return head.headers["content-length"] === undefined &&
     head.headers["transfer-encoding"] === undefined;
--- a/packages/gateway/src/request/drain_admission.ts
+++ b/packages/gateway/src/request/drain_admission.ts
@@ -1,41 +1,42 @@
 /**
- * What an entry that stops still takes once its usual time for that is over.
+ * Decides which requests a draining entry still admits after the first phase of its
+ * stop, in which it admits all.
  *
  * All entries may be restarted one after the other, faster than their longest
- * streams end. So that somebody listens at any time, an entry listens for as long
- * as it lives: what surely ends before its process does is served, and all else is
- * told truly that it has not run.
+ * streams end. To keep at least one entry listening at any time, an entry listens
+ * for as long as its process lives. It serves the requests that are certain to end
+ * before the process does, and refuses all others as not run.
  * @module
  */
 import { StreamDurationBound } from "@sycamorepulley/decisions";
 import type { ResolvedRequest } from "./resolve_request.ts";
 
-/** Milliseconds before the process's end by which all that it takes has ended. */
-const MARGIN = 300;
-/** Milliseconds from the end of a process until its successor takes callers. */
+/** Milliseconds before the end of the process by which admitted requests end. */
+const END_MARGIN = 300;
+/** Milliseconds from the end of a process until its successor accepts requests. */
 const RESTART_TIME = 1000;
 
-/** See the module; instants are those of the process's clock. */
+/** Admission of requests while draining; instants are of the process's clock. */
 export class DrainAdmission {
   readonly streamDurations = new StreamDurationBound();
   #endAt: number | undefined;
 
-  /** From now on only what ends by `endAt` is taken. */
+  /** From now on, admits only requests that end by `endAt`. */
   start(endAt: number): void {
     this.#endAt = endAt;
   }
 
-  /** Latest instant at which a server may be sent the request. */
+  /** Latest instant at which the request may be sent to a server. */
   latestStartTime(resolved: ResolvedRequest): number {
     if (this.#endAt === undefined) return Infinity;
-    const endAt = this.#endAt - MARGIN;
+    const endAt = this.#endAt - END_MARGIN;
     if (resolved.deadline <= endAt) return Infinity;
     const { cost } = resolved;
     const bounded = cost.promptTokens > 0;
     return bounded ? endAt - this.streamDurations.upperBound(cost) : -Infinity;
   }
 
-  /** Milliseconds until the successor of this process takes callers. */
+  /** Milliseconds until the successor of this process accepts requests. */
   retryAfter(now: number): number {
     return Math.max(0, (this.#endAt ?? now) - now) + RESTART_TIME;
   }
--- a/packages/gateway/src/request/error_response.ts
+++ b/packages/gateway/src/request/error_response.ts
@@ -1,7 +1,7 @@
-/** The gateway's own answers to callers. @module */
+/** Error responses that the gateway itself sends to callers. @module */
 import type { ServerResponse } from "node:http";
 
-/** Why the gateway answers itself; the body states it. */
+/** Why the gateway sends an error; stated in the body. */
 export type ErrorReason =
   | "no_configuration"
   | "no_route"
@@ -17,7 +17,7 @@
   | "time_up"
   | "broken";
 
-/** Status of each reason while the request has certainly not run. */
+/** HTTP status of each reason for a request that has certainly not run. */
 const STATUS_NOT_RUN: Record<ErrorReason, number> = {
   no_configuration: 503,
   no_route: 404,
@@ -34,13 +34,13 @@
   broken: 503,
 };
 
-/** The status that promises no more than is known. */
+/** HTTP status of an error; 502 or 504 if the request may have run. */
 export function errorStatus(reason: ErrorReason, mayHaveRun: boolean): number {
   if (!mayHaveRun) return STATUS_NOT_RUN[reason];
   return reason === "time_up" ? 504 : 502;
 }
 
-/** Sends an answer of the gateway's own; `retryAfter` in milliseconds. */
+/** Sends an error response; `retryAfter` in milliseconds. */
 export function sendErrorResponse(
   response: ServerResponse,
   status: number,
--- a/packages/gateway/src/request/event_buffer.ts
+++ b/packages/gateway/src/request/event_buffer.ts
@@ -1,29 +1,31 @@
 /**
- * Whole events of a stream. A server may stop in the middle of an event; a part
- * of one must not reach the caller, or the next server's events would be joined
- * to it.
+ * Splits a stream of server-sent events into complete events. A server may fail in
+ * the middle of an event. A partial event must not reach the caller, because the
+ * next server's events would be appended to it.
  * @module
  */
 
+/** Byte value of a line feed. */
 const NEWLINE = 10;
+/** Start of the line that states the id of an event. */
 const ID_FIELD = Buffer.from("id:");
 
-/** Cuts a stream of bytes at the ends of events. */
+/** Holds back the bytes of an event until it is complete. */
 export class EventBuffer {
   #partialEvent: Buffer = Buffer.alloc(0);
   #lastEventId: string | undefined;
 
-  /** Id of the last whole event that had one. */
+  /** Id of the last complete event that had one. */
   get lastEventId(): string | undefined {
     return this.#lastEventId;
   }
 
-  /** True while a part of an event is held back. */
+  /** True while the start of an incomplete event is held back. */
   get hasPartialEvent(): boolean {
     return this.#partialEvent.length > 0;
   }
 
-  /** The whole events that `chunk` completes, as received. */
+  /** Returns the bytes up to the end of the last event that `chunk` completes. */
   push(chunk: Buffer): Buffer | undefined {
     const bytes = this.#partialEvent.length === 0
       ? chunk
@@ -34,12 +36,12 @@
       return undefined;
     }
     this.#partialEvent = bytes.subarray(end);
-    const whole = bytes.subarray(0, end);
-    this.#lastEventId = findLastEventId(whole) ?? this.#lastEventId;
-    return whole;
+    const completeEvents = bytes.subarray(0, end);
+    this.#lastEventId = findLastEventId(completeEvents) ?? this.#lastEventId;
+    return completeEvents;
   }
 
-  /** Drops the part of an event that will not be completed. */
+  /** Discards a partial event that will not be completed. */
   drop(): void {
     this.#partialEvent = Buffer.alloc(0);
   }
@@ -55,11 +57,12 @@
 }
 
 function findLastEventId(bytes: Buffer): string | undefined {
-  let at = bytes.lastIndexOf(ID_FIELD);
-  while (at > 0 && bytes[at - 1] !== NEWLINE) {
-    at = bytes.lastIndexOf(ID_FIELD, at - 1);
+  let fieldStart = bytes.lastIndexOf(ID_FIELD);
+  while (fieldStart > 0 && bytes[fieldStart - 1] !== NEWLINE) {
+    fieldStart = bytes.lastIndexOf(ID_FIELD, fieldStart - 1);
   }
-  if (at < 0) return undefined;
-  const end = bytes.indexOf(NEWLINE, at);
-  return bytes.subarray(at + ID_FIELD.length, end).toString("latin1").trim();
+  if (fieldStart < 0) return undefined;
+  const end = bytes.indexOf(NEWLINE, fieldStart);
+  return bytes.subarray(fieldStart + ID_FIELD.length, end).toString("latin1")
+    .trim();
 }
--- a/packages/gateway/src/request/exchange.ts
+++ b/packages/gateway/src/request/exchange.ts
@@ -1,10 +1,10 @@
 /**
- * One request at one backend server, from its sending to the end of the answer.
+ * One HTTP exchange with a backend server: a request and its response.
  *
- * What is not the server's whole answer to this request must not reach the
- * caller: answers to other requests, answers without the server's seal, bodies
- * cut short. A plain answer is therefore held until it is whole; a stream is
- * passed on in whole events.
+ * Only a complete response of the server to this very request may reach the
+ * caller. Responses to other requests, responses without the server's seal, and
+ * truncated bodies must not. A plain response is therefore buffered until it is
+ * complete, and a stream is passed on in complete events.
  * @module
  */
 import { ResponseListener } from "../backend/backend_connection.ts";
@@ -17,45 +17,45 @@
 import { isCloseDelimited } from "./caller_connection.ts";
 import { EventBuffer } from "./event_buffer.ts";
 
-/** Largest plain answer that is held until it is whole, in bytes. */
+/** Largest plain response that is buffered, in bytes; a larger one fails. */
 const MAX_BUFFERED_BODY_BYTES = 1024 * 1024;
 
-/** Another server has the address; it did not run the request. */
+/** HTTP status of a server that is not the intended one; it ran nothing. */
 const MISDIRECTED = 421;
 
 /** How an exchange ended. */
 export type ExchangeResult =
-  /** A whole plain answer, not yet passed on. */
+  /** A complete plain response, not yet passed on. */
   | { kind: "plain"; head: ResponseHead; body: Buffer }
-  /** A whole stream, passed on. */
+  /** A complete stream, already passed on. */
   | { kind: "stream"; closeDelimited: boolean }
   /**
-   * The server's own word that it did not run the request; `misdirected`: it is
-   * another one than the request was meant for.
+   * The server stated that it did not run the request. `misdirected`: the request
+   * was meant for another server.
    */
   | { kind: "not_run"; misdirected: boolean }
-  /** No whole answer; the request may have run. */
+  /** No complete response; the request may have run. */
   | { kind: "broken"; detail: string }
-  /** Given up by this side. */
+  /** Cancelled by the gateway. */
   | { kind: "aborted" };
 
-/** Takes the parts of a stream as they come. */
+/** Receives the parts of a streamed response as they arrive. */
 export type StreamSink = {
-  begin: (head: ResponseHead) => void;
-  /** Whole events. */
-  events: (events: Buffer, lastId: string | undefined) => void;
+  onStart: (head: ResponseHead) => void;
+  /** Complete events only, with the id of the latest event that has one. */
+  onEvents: (events: Buffer, lastEventId: string | undefined) => void;
 };
 
 /** Runs one exchange; {@link Exchange.abort} closes the connection. */
 export class Exchange extends ResponseListener {
   readonly done: Promise<ExchangeResult>;
-  readonly #names: HeaderNames;
-  readonly #request: string;
+  readonly #headerNames: HeaderNames;
+  readonly #requestId: string;
   readonly #sink: StreamSink;
   readonly #connection: BackendConnection;
   readonly #onHead: (head: ResponseHead) => void;
   readonly #onFirstPart: () => void;
-  #resolveDone!: (end: ExchangeResult) => void;
+  #resolveDone!: (result: ExchangeResult) => void;
   #abortSending: (() => void) | undefined;
   #head: ResponseHead | undefined;
   #streaming = false;
@@ -67,23 +67,23 @@
 
   constructor(
     options: {
-      names: HeaderNames;
-      request: string;
-      channel: BackendConnection;
+      headerNames: HeaderNames;
+      requestId: string;
+      connection: BackendConnection;
       sink: StreamSink;
-      /** Takes the head of each answer that is the server's own. */
-      answered: (head: ResponseHead) => void;
-      /** Called at the first byte that an answer is judged by. */
-      first: () => void;
+      /** Called with the head of a response that the server itself sent. */
+      onHead: (head: ResponseHead) => void;
+      /** Called at the first event of a stream, or the end of a plain response. */
+      onFirstPart: () => void;
     },
   ) {
     super();
-    this.#names = options.names;
-    this.#request = options.request;
-    this.#connection = options.channel;
+    this.#headerNames = options.headerNames;
+    this.#requestId = options.requestId;
+    this.#connection = options.connection;
     this.#sink = options.sink;
-    this.#onHead = options.answered;
-    this.#onFirstPart = options.first;
+    this.#onHead = options.onHead;
+    this.#onFirstPart = options.onFirstPart;
     this.done = new Promise((resolve) => this.#resolveDone = resolve);
   }
 
@@ -97,7 +97,7 @@
     this.#finish({ kind: "aborted" });
   }
 
-  /** Takes what comes, or doesn't, for a broken answer. */
+  /** Ends the exchange as broken, whatever the server sends later. */
   fail(detail: string): void {
     if (!this.#finished) this.#failWith(detail);
   }
@@ -121,10 +121,10 @@
       this.#bufferBody(chunk);
       return;
     }
-    const whole = this.#eventBuffer.push(chunk);
-    if (whole === undefined) return;
+    const completeEvents = this.#eventBuffer.push(chunk);
+    if (completeEvents === undefined) return;
     this.#startStream();
-    this.#sink.events(whole, this.#eventBuffer.lastEventId);
+    this.#sink.onEvents(completeEvents, this.#eventBuffer.lastEventId);
   }
 
   override onEnd(): void {
@@ -135,8 +135,9 @@
     }
     this.#markFirstPart();
     const { status, headers } = this.#head;
-    const unrun = headers[this.#names.notRun.toLowerCase()] !== undefined;
-    if (unrun || status === MISDIRECTED) {
+    const notRun =
+      headers[this.#headerNames.notRun.toLowerCase()] !== undefined;
+    if (notRun || status === MISDIRECTED) {
       this.#finish({ kind: "not_run", misdirected: status === MISDIRECTED });
       return;
     }
@@ -150,7 +151,7 @@
 
   #endStream(): void {
     if (this.#eventBuffer.hasPartialEvent) {
-      this.#failWith("the stream ended within an event");
+      this.#failWith("stream ended in the middle of an event");
       return;
     }
     this.#startStream();
@@ -163,7 +164,7 @@
   #startStream(): void {
     if (this.firstPartReceived) return;
     this.#markFirstPart();
-    this.#sink.begin(this.#head!);
+    this.#sink.onStart(this.#head!);
   }
 
   #markFirstPart(): void {
@@ -175,27 +176,37 @@
   #bufferBody(chunk: Buffer): void {
     this.#bodySize += chunk.length;
     if (this.#bodySize > MAX_BUFFERED_BODY_BYTES) {
-      this.#failWith(`an answer of over ${MAX_BUFFERED_BODY_BYTES} bytes`);
+      this.#failWith(
+        `response body larger than ${MAX_BUFFERED_BODY_BYTES} bytes`,
+      );
       return;
     }
     this.#body.push(chunk);
   }
 
-  /** Why the answer can't be this request's, or not a server's own. */
+  /** Why the response is not one of the server to this request, if it isn't. */
   #headProblem(head: ResponseHead): string | undefined {
     const { headers, status } = head;
-    const echoed = headers[this.#names.requestId.toLowerCase()];
-    const unrun = headers[this.#names.notRun.toLowerCase()] !== undefined ||
+    const echoed = headers[this.#headerNames.requestId.toLowerCase()];
+    const notRun =
+      headers[this.#headerNames.notRun.toLowerCase()] !== undefined ||
       status === MISDIRECTED;
-    if (echoed !== undefined && echoed !== this.#request) {
-      return "an answer to another request";
+    if (echoed !== undefined && echoed !== this.#requestId) {
+      return "response to another request";
     }
-    if (unrun) return undefined;
-    if (echoed === undefined && status < 300) return "an answer without a name";
-    if (headers[this.#names.seal.toLowerCase()] === undefined && status < 300) {
-      return "an answer without a seal";
+    if (notRun) return undefined;
+    if (echoed === undefined && status < 300) {
+      return "response without a request id";
+    }
+    if (
+      headers[this.#headerNames.seal.toLowerCase()] === undefined &&
+      status < 300
+    ) {
+      return "response without a seal";
+    }
+    if (headers["content-encoding"] !== undefined) {
+      return "response with a content encoding";
     }
-    if (headers["content-encoding"] !== undefined) return "an encoded answer";
     return undefined;
   }
 
@@ -204,9 +215,9 @@
     this.#finish({ kind: "broken", detail });
   }
 
-  #finish(end: ExchangeResult): void {
+  #finish(result: ExchangeResult): void {
     if (this.#finished) return;
     this.#finished = true;
-    this.#resolveDone(end);
+    this.#resolveDone(result);
   }
 }
--- a/packages/gateway/src/request/final_response.ts
+++ b/packages/gateway/src/request/final_response.ts
@@ -1,4 +1,4 @@
-/** What a caller is told in the end: one answer, or none once it has left. @module */
+/** The end of a request: one response, or none if its caller disconnected. @module */
 import type { RefusalInputs, ServerRecord } from "@sycamorepulley/decisions";
 import type { ResponseProgress } from "./response_progress.ts";
 import type { CallerConnection } from "./caller_connection.ts";
@@ -7,21 +7,21 @@
 import type { ErrorReason } from "./error_response.ts";
 import type { RequestReport } from "./request_report.ts";
 
-/** Part of the time left that a caller is asked to wait at most. */
+/** Largest share of the remaining time that a caller is asked to wait. */
 const MAX_RETRY_AFTER_SHARE = 1 / 3;
 
-/** Why a request is given up; durations in milliseconds. */
+/** Why a request fails or is refused; durations in milliseconds. */
 export type GiveUpOptions = {
   reason: ErrorReason;
   mayHaveRun: boolean;
-  /** Until its caller's time is over. */
+  /** Until the deadline of the request. */
   remainingTime: number;
   retryAfter?: number | undefined;
-  /** The entry that decided, and what it saw. */
+  /** The entry that refused the request, and the inputs of its decision. */
   decision?: { by: string; seen: RefusalInputs } | undefined;
 };
 
-/** Tells the caller once, and reports it. */
+/** Sends the final response once, and logs and counts it. */
 export class FinalResponse {
   readonly #caller: CallerConnection;
   readonly #report: RequestReport;
@@ -32,18 +32,18 @@
     this.#report = report;
   }
 
-  /** The caller has its answer, or none is owed any more. */
+  /** True if the response was sent, or the caller has disconnected. */
   get settled(): boolean {
     return this.#settled;
   }
 
-  /** The caller has left. */
+  /** Records that the caller has disconnected. */
   reportDisconnect(state: "sent" | "waiting"): void {
     this.#settled = true;
     this.#report.left(state);
   }
 
-  /** A stream was passed on to its end. */
+  /** Ends a stream that was passed on completely. */
   endStream(
     server: ServerRecord,
     closeDelimited: boolean,
@@ -54,14 +54,17 @@
     this.#report.answered(server, 200, progress);
   }
 
-  /** A whole plain answer of a server. */
+  /** Sends a server's complete plain response. */
   sendPlain(
     server: ServerRecord,
     { head, body }: Extract<ExchangeResult, { kind: "plain" }>,
     progress: ResponseProgress,
   ): void {
     if (this.#caller.responseStarted) {
-      this.abort(server, `status ${head.status} to a resumed stream`);
+      this.abort(
+        server,
+        `response with status ${head.status} to a resumed stream`,
+      );
       return;
     }
     this.#settled = true;
@@ -69,37 +72,33 @@
     this.#report.answered(server, head.status, progress);
   }
 
-  /** Ends the connection, so that what was passed on can't look whole. */
+  /** Closes the connection, so that a partial response can't look complete. */
   abort(server: ServerRecord | undefined, reason: string): void {
     this.#settled = true;
     this.#caller.abortResponse();
     this.#report.cut(server, reason);
   }
 
-  giveUp(why: GiveUpOptions): void {
+  /** Sends an error, or aborts a response that has already started. */
+  giveUp(options: GiveUpOptions): void {
     if (this.#caller.disconnected || this.#settled) return;
-    const {
-      reason,
-      mayHaveRun,
-      remainingTime: left,
-      retryAfter,
-      decision: decided,
-    } = why;
+    const { reason, mayHaveRun, remainingTime, retryAfter, decision } = options;
     if (this.#caller.responseStarted) {
       this.abort(undefined, reason);
       return;
     }
     this.#settled = true;
     const status = errorStatus(reason, mayHaveRun);
-    const wait = retryAfter === undefined
-      ? undefined
-      : Math.min(retryAfter, Math.max(0, left) * MAX_RETRY_AFTER_SHARE);
-    this.#caller.sendError(status, reason, wait);
+    const limitedRetryAfter = retryAfter === undefined ? undefined : Math.min(
+      retryAfter,
+      Math.max(0, remainingTime) * MAX_RETRY_AFTER_SHARE,
+    );
+    this.#caller.sendError(status, reason, limitedRetryAfter);
     this.#report.refused(reason, {
       status,
-      retryAfter: wait ?? 0,
+      retryAfter: limitedRetryAfter ?? 0,
       mayHaveRun,
-      ...(decided && { decided }),
+      ...(decision && { decision }),
     });
   }
 }
--- a/packages/gateway/src/request/request_context.ts
+++ b/packages/gateway/src/request/request_context.ts
@@ -1,4 +1,4 @@
-/** What every request task works with. @module */
+/** Dependencies of the tasks that run requests. @module */
 import type { ServerRecord } from "@sycamorepulley/decisions";
 import type { ConnectionPool } from "../backend/connection_pool.ts";
 import type { HeaderNames } from "../front/header_names.ts";
@@ -9,7 +9,7 @@
 import type { DrainAdmission } from "./drain_admission.ts";
 import type { ConsumeRetry } from "./retry_budgets.ts";
 
-/** Shared by all requests of one process. */
+/** Dependencies that all requests of a process share. */
 export type RequestContext = {
   headerNames: HeaderNames;
   dataCentre: string;
@@ -19,12 +19,12 @@
   metrics: GatewayMetrics;
   grantClient: GrantClient;
   connectionPool: ConnectionPool;
-  /** Resolves when requests may be resolved: at once but at a start. */
+  /** Resolves once requests may be handled; pending only while the process starts. */
   ready: Promise<void>;
   activeConfiguration: () => ActiveConfiguration | undefined;
-  /** False when what is known may be out of date. */
+  /** False if the configuration in force may be out of date. */
   isConfigurationCurrent: () => boolean;
-  /** The server as it is registered now; `undefined` once it may not be used. */
+  /** The current record of a server; `undefined` if it may not be used. */
   findServer: (incarnation: string) => ServerRecord | undefined;
   drainAdmission: DrainAdmission;
   consumeRetry: ConsumeRetry;
--- a/packages/gateway/src/request/request_handler.ts
+++ b/packages/gateway/src/request/request_handler.ts
@@ -1,4 +1,4 @@
-/** Takes callers' requests in and runs one task for each. @module */
+/** Validates callers' requests and runs a task for each. @module */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { setImmediate as nextTurn } from "node:timers/promises";
 import type { RequestParser } from "../front/parsed_request.ts";
@@ -10,32 +10,35 @@
 import { RequestTask } from "./request_task.ts";
 import { resolveRequest } from "./resolve_request.ts";
 
-/** Milliseconds after which a caller may try again while this entry starts. */
+/**
+ * Milliseconds a refused caller is asked to wait unless stated otherwise; enough for
+ * an entry that is starting.
+ */
 const DEFAULT_RETRY_AFTER = 500;
 
-/** See the module. */
+/** Handles the requests of callers from arrival to final response. */
 export class RequestHandler {
   readonly #context: RequestContext;
-  readonly #reader: RequestParser;
-  #active = 0;
+  readonly #parser: RequestParser;
+  #activeRequests = 0;
 
   constructor(options: { context: RequestContext; parser: RequestParser }) {
     this.#context = options.context;
-    this.#reader = options.parser;
+    this.#parser = options.parser;
   }
 
-  /** Requests without a final answer. */
+  /** Number of requests without a final response. */
   get activeRequests(): number {
-    return this.#active;
+    return this.#activeRequests;
   }
 
   async handle(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    this.#active++;
+    this.#activeRequests++;
     try {
-      await this.#serve(request, response);
+      await this.#handle(request, response);
     } catch (error) {
       this.#context.log.write({
         event: "cut",
@@ -46,55 +49,59 @@
       });
       response.destroy();
     } finally {
-      this.#active--;
+      this.#activeRequests--;
     }
   }
 
-  async #serve(
+  async #handle(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    const { clock, activeConfiguration: inForce, random, metrics, ready } =
+    const { clock, activeConfiguration, random, metrics, ready } =
       this.#context;
-    const call = this.#reader.parse(request, clock());
+    const parsed = this.#parser.parse(request, clock());
     const caller = new CallerConnection(request, response);
-    const limits = inForce()?.configuration.limits;
+    const limits = activeConfiguration()?.configuration.limits;
     const body = await caller.readBody(limits?.bodyBytes ?? Infinity);
     if (body.isErr) {
       if (body.error === "too_large") {
         response.setHeader("connection", "close");
-        this.#refuse(response, call, "body_too_large");
+        this.#refuse(response, parsed, "body_too_large");
       }
       return;
     }
     await ready;
     // A process that is short of processor time may read a request whose caller
-    // has left, and the end of its connection only after the next poll. The first
-    // turn ends this poll's callbacks, the second comes after the next poll.
+    // has already disconnected, and see the end of the connection only after the
+    // next poll of the event loop. The first turn ends the callbacks of this poll;
+    // the second one comes after the next poll.
     await nextTurn();
     await nextTurn();
     if (caller.disconnected) return;
     if (limits !== undefined && headSize(request) > limits.headerBytes) {
-      this.#refuse(response, call, "head_too_large");
+      this.#refuse(response, parsed, "head_too_large");
       return;
     }
-    const resolved = resolveRequest(call, inForce(), random());
+    const resolved = resolveRequest(parsed, activeConfiguration(), random());
     if (resolved.isErr) {
-      this.#refuse(response, call, resolved.error);
+      this.#refuse(response, parsed, resolved.error);
       return;
     }
-    const { drainAdmission: closing } = this.#context;
-    if (clock() > closing.latestStartTime(resolved.value)) {
-      const left = resolved.value.deadline - clock();
-      const retryAfter = Math.min(closing.retryAfter(clock()), left / 3);
-      this.#refuse(response, call, "stopping", retryAfter);
+    const { drainAdmission } = this.#context;
+    if (clock() > drainAdmission.latestStartTime(resolved.value)) {
+      const remaining = resolved.value.deadline - clock();
+      const retryAfter = Math.min(
+        drainAdmission.retryAfter(clock()),
+        remaining / 3,
+      );
+      this.#refuse(response, parsed, "stopping", retryAfter);
       return;
     }
     const { service, route } = resolved.value;
     metrics.requests.inc({ service, route: route.name });
     const task = new RequestTask({
       context: this.#context,
-      call,
+      parsed,
       resolved: resolved.value,
       caller,
       body: body.value,
@@ -106,7 +113,7 @@
   /** `retryAfter` in milliseconds. */
   #refuse(
     response: ServerResponse,
-    call: ParsedRequest,
+    parsed: ParsedRequest,
     reason: ErrorReason,
     retryAfter = DEFAULT_RETRY_AFTER,
   ): void {
@@ -114,11 +121,12 @@
       metrics,
       log,
       clock,
-      isConfigurationCurrent: current,
-      activeConfiguration: inForce,
+      isConfigurationCurrent,
+      activeConfiguration,
     } = this.#context;
-    // What is missing here may be in a newer version that can't be reached.
-    const stale = !current() &&
+    // The missing route or credential may be in a newer version of the
+    // configuration that this entry could not read.
+    const stale = !isConfigurationCurrent() &&
       (reason === "no_route" || reason === "bad_credential");
     const reported = stale ? "no_configuration" : reason;
     const status = errorStatus(reported, false);
@@ -126,20 +134,20 @@
     metrics.refusals.inc({ service: "", reason: reported });
     log.write({
       event: "refused",
-      request: call.requestId,
+      request: parsed.requestId,
       status,
       reason: reported,
-      waited: Math.round(clock() - call.arrivedAt),
+      waited: Math.round(clock() - parsed.arrivedAt),
       retryAfter: Math.round(retryAfter),
-      version: inForce()?.configuration.version ?? 0,
+      version: activeConfiguration()?.configuration.version ?? 0,
     });
   }
 }
 
-/** Bytes of the request line and the headers, as they were sent. */
+/** Size in bytes of the request line and the headers, as sent. */
 function headSize(request: IncomingMessage): number {
   const { method = "", url = "", rawHeaders } = request;
-  // Each name and each value has two characters more: ": " or a line's end.
+  // Each name is followed by ": " and each value by CRLF: two characters each.
   return rawHeaders.reduce(
     (size, text) => size + text.length + 2,
     method.length + url.length,
--- a/packages/gateway/src/request/request_report.ts
+++ b/packages/gateway/src/request/request_report.ts
@@ -1,4 +1,4 @@
-/** What is logged and counted of one request. @module */
+/** Log events and metrics of one request. @module */
 import { incarnationOf } from "@sycamorepulley/decisions";
 import type { RefusalInputs, ServerRecord } from "@sycamorepulley/decisions";
 import type { ParsedRequest } from "../front/parsed_request.ts";
@@ -7,36 +7,36 @@
 import type { RequestContext } from "./request_context.ts";
 import type { ResolvedRequest } from "./resolve_request.ts";
 
-/** One method for each decision on the request. */
+/** Logs and counts each decision on a request. */
 export class RequestReport {
   readonly #context: RequestContext;
-  readonly #call: ParsedRequest;
+  readonly #parsed: ParsedRequest;
   readonly #resolved: ResolvedRequest;
 
   constructor(
     context: RequestContext,
-    call: ParsedRequest,
+    parsed: ParsedRequest,
     resolved: ResolvedRequest,
   ) {
     this.#context = context;
-    this.#call = call;
+    this.#parsed = parsed;
     this.#resolved = resolved;
   }
 
-  /** `waited` in milliseconds; `attempt` counts grants. */
+  /** `waited`: milliseconds until the grant; `attempt`: number of the grant. */
   granted(
     server: ServerRecord,
     grant: { waited: number; by: string; attempt: number },
   ): void {
-    const { metrics, log, grantClient: granter, clock } = this.#context;
+    const { metrics, log, grantClient, clock } = this.#context;
     const { service, route, organisation, charge } = this.#resolved;
     const waited = Math.round(grant.waited);
-    const limit = granter.limits.known.find(incarnationOf(server));
+    const limit = grantClient.limits.known.find(incarnationOf(server));
     const labels = { service, route: route.name };
     metrics.grantWait.observe(labels, waited / 1000);
     log.write({
       event: "granted",
-      request: this.#call.requestId,
+      request: this.#parsed.requestId,
       server: server.id,
       waited,
       by: grant.by,
@@ -52,13 +52,13 @@
     });
   }
 
-  /** `sent`: servers that may have run it. */
+  /** `sent`: number of servers that may have run the request. */
   retried(server: ServerRecord, reason: string, sent: number): void {
     const { metrics, log } = this.#context;
     metrics.retries.inc({ service: this.#resolved.service, reason });
     log.write({
       event: "retried",
-      request: this.#call.requestId,
+      request: this.#parsed.requestId,
       server: server.id,
       reason,
       sent,
@@ -67,27 +67,27 @@
 
   refused(
     reason: ErrorReason,
-    answer: {
+    response: {
       status: number;
       retryAfter: number;
       mayHaveRun: boolean;
-      /** Where an entry that grants refused it. */
-      decided?: { by: string; seen: RefusalInputs };
+      /** Set if a granting entry refused the request. */
+      decision?: { by: string; seen: RefusalInputs };
     },
   ): void {
     const { metrics, log } = this.#context;
     const { service, organisation, tierRank, routeRank } = this.#resolved;
     const { cost, charge } = this.#resolved;
-    const { decided } = answer;
-    if (answer.mayHaveRun) metrics.failures.inc({ service, reason });
+    const { decision } = response;
+    if (response.mayHaveRun) metrics.failures.inc({ service, reason });
     else metrics.refusals.inc({ service, reason });
     log.write({
       event: "refused",
-      request: this.#call.requestId,
-      status: answer.status,
+      request: this.#parsed.requestId,
+      status: response.status,
       reason,
       waited: this.#age(),
-      retryAfter: Math.round(answer.retryAfter),
+      retryAfter: Math.round(response.retryAfter),
       version: this.#version,
       organisation,
       tierRank,
@@ -95,34 +95,36 @@
       promptTokens: cost.promptTokens,
       outputTokens: cost.outputTokens,
       charge,
-      ...(decided && {
-        by: decided.by,
-        free: decided.seen.free,
-        waiting: decided.seen.waiting,
-        quotaWait: Math.round(decided.seen.quotaWait),
-        standing: decided.seen.standing ?? "unqueued",
+      ...(decision && {
+        by: decision.by,
+        free: decision.seen.free,
+        waiting: decision.seen.waiting,
+        quotaWait: Math.round(decision.seen.quotaWait),
+        standing: decision.seen.standing ?? "unqueued",
       }),
     });
   }
 
+  /** A response that had started was aborted. */
   cut(server: ServerRecord | undefined, reason: string): void {
     const { metrics, log } = this.#context;
     metrics.failures.inc({ service: this.#resolved.service, reason: "cut" });
     log.write({
       event: "cut",
-      request: this.#call.requestId,
+      request: this.#parsed.requestId,
       server: server?.id ?? "",
       reason,
       time: this.#age(),
     });
   }
 
+  /** The caller disconnected. */
   left(state: "sent" | "waiting"): void {
     const { log, metrics } = this.#context;
     metrics.failures.inc({ service: this.#resolved.service, reason: "left" });
     log.write({
       event: "left",
-      request: this.#call.requestId,
+      request: this.#parsed.requestId,
       state,
       time: this.#age(),
     });
@@ -137,17 +139,18 @@
     const { service, route, cost } = this.#resolved;
     const labels = { service, route: route.name };
     const now = clock();
-    const first = (progress.firstPartAt ?? now) - this.#call.arrivedAt;
-    const time = now - this.#call.arrivedAt;
+    const timeToFirstPart = (progress.firstPartAt ?? now) -
+      this.#parsed.arrivedAt;
+    const time = now - this.#parsed.arrivedAt;
     metrics.responses.inc({ service, status: String(status) });
-    metrics.timeToFirstByte.observe(labels, first / 1000);
+    metrics.timeToFirstByte.observe(labels, timeToFirstPart / 1000);
     metrics.timeToLastByte.observe(labels, time / 1000);
     log.write({
       event: "answered",
-      request: this.#call.requestId,
+      request: this.#parsed.requestId,
       server: server.id,
       status,
-      first: Math.round(first),
+      first: Math.round(timeToFirstPart),
       time: Math.round(time),
       promptTokens: cost.promptTokens,
       outputTokens: cost.outputTokens,
@@ -161,6 +164,6 @@
   }
 
   #age(): number {
-    return Math.round(this.#context.clock() - this.#call.arrivedAt);
+    return Math.round(this.#context.clock() - this.#parsed.arrivedAt);
   }
 }
--- a/packages/gateway/src/request/request_task.ts
+++ b/packages/gateway/src/request/request_task.ts
@@ -1,10 +1,11 @@
 /**
- * One caller's request from its arrival to its final answer.
+ * Runs one caller's request from its arrival to its final response.
  *
- * Where it stands decides what may be said of it. Until something was written to
- * a server, it has not run, and a refusal says so truly. Once written, only the
- * server's own word says that it did not run; all else may have run, is not sent
- * again unless it may be repeated, and is never answered as not run.
+ * A request has certainly not run until something was written to a server; until
+ * then it may be refused as not run. After that, only an explicit statement of the
+ * server (421 or the header for it) proves that it did not run. In all other cases
+ * it may have run: it is retried only if its route allows repetition, and it is
+ * never reported to the caller as not run.
  * @module
  */
 import { incarnationOf, isRepeatable } from "@sycamorepulley/decisions";
@@ -26,18 +27,18 @@
 import type { AttemptResult, AttemptTarget } from "./server_attempt.ts";
 
 /**
- * Grants that one request may use up, whatever became of them. A refused connect
- * takes a millisecond and reaches nobody; a whole data centre of servers may be
- * down, and each refuses one.
+ * Largest number of grants for one request, including those that failed. A refused
+ * connection costs about a millisecond and runs nothing, and when a whole data
+ * centre is down every server in it refuses one.
  */
 const MAX_GRANTS = 20;
-/** Milliseconds after which a refused caller may come back, if nothing is known. */
+/** Milliseconds a refused caller is asked to wait if no better estimate exists. */
 const DEFAULT_RETRY_AFTER = 300;
 
-/** See the module. */
+/** Gets grants for a request, sends it to servers, and responds to its caller. */
 export class RequestTask {
   readonly #context: RequestContext;
-  readonly #call: ParsedRequest;
+  readonly #parsed: ParsedRequest;
   readonly #resolved: ResolvedRequest;
   readonly #caller: CallerConnection;
   readonly #body: Buffer | undefined;
@@ -46,50 +47,50 @@
   readonly #response: FinalResponse;
   readonly #progress = new ResponseProgress();
   readonly #excludedServers: string[] = [];
-  /** Servers that something was written to and that may have run it. */
+  /** Number of servers that the request was written to and that may have run it. */
   #serversSentTo = 0;
   #mayHaveRun = false;
   #cancelStep: (() => void) | undefined;
   #timedOut = false;
-  /** The resend after a silence is paid for already. */
+  /** True if the retry after a silence has already been charged to the budget. */
   #retryConsumed = false;
 
   constructor(
     options: {
       context: RequestContext;
-      call: ParsedRequest;
+      parsed: ParsedRequest;
       resolved: ResolvedRequest;
       caller: CallerConnection;
       body: Buffer | undefined;
     },
   ) {
     this.#context = options.context;
-    this.#call = options.call;
+    this.#parsed = options.parsed;
     this.#resolved = options.resolved;
     this.#caller = options.caller;
     this.#body = options.body;
-    const { context, call, resolved } = options;
-    this.#report = new RequestReport(context, call, resolved);
+    const { context, parsed, resolved } = options;
+    this.#report = new RequestReport(context, parsed, resolved);
     this.#response = new FinalResponse(options.caller, this.#report);
     this.#fingerprint = requestFingerprint(
-      options.call,
+      options.parsed,
       options.body,
       options.context.headerNames.requestId,
     );
   }
 
-  /** The caller has left: nothing more is done for it. */
+  /** Cancels the current step, as nobody waits for the response any more. */
   callerDisconnected(): void {
     this.#cancelStep?.();
   }
 
   async run(): Promise<void> {
     const { clock } = this.#context;
-    const left = this.#resolved.deadline - clock();
+    const remaining = this.#resolved.deadline - clock();
     const timer = setTimeout(() => {
       this.#timedOut = true;
       this.#cancelStep?.();
-    }, Math.max(0, left));
+    }, Math.max(0, remaining));
     try {
       await this.#runAttempts();
     } finally {
@@ -100,20 +101,25 @@
   async #runAttempts(): Promise<void> {
     for (let grant = 1; grant <= MAX_GRANTS; grant++) {
       if (this.#isOver()) return;
-      const answer = await this.#requestGrant(grant);
+      const granted = await this.#requestGrant(grant);
       if (this.#isOver()) {
-        // A grant that is kept without a request takes a place for ever.
-        if (answer !== undefined) this.#context.grantClient.withdraw(answer.id);
+        // A grant that is never withdrawn would occupy its slot for ever.
+        if (granted !== undefined) {
+          this.#context.grantClient.withdraw(granted.id);
+        }
         return;
       }
-      if (answer === undefined) continue;
-      await this.#sendToServer(answer.id, answer.server);
+      if (granted === undefined) continue;
+      await this.#sendToServer(granted.id, granted.server);
     }
     if (this.#isOver()) return;
     this.#giveUp("not_run", DEFAULT_RETRY_AFTER);
   }
 
-  /** True when the caller has left or the time is up; the latter is answered. */
+  /**
+   * True if the request has its response, its caller disconnected, or its time is
+   * up. If the time is up, the caller is sent an error.
+   */
   #isOver(): boolean {
     if (this.#response.settled) return true;
     if (this.#caller.disconnected) {
@@ -122,23 +128,28 @@
       );
       return true;
     }
-    const left = this.#resolved.deadline - this.#context.clock();
-    if (!this.#timedOut && left >= MIN_REMAINING_TIME) return false;
+    const remaining = this.#resolved.deadline - this.#context.clock();
+    if (!this.#timedOut && remaining >= MIN_REMAINING_TIME) return false;
     this.#giveUp("time_up");
     return true;
   }
 
-  /** A granted server; `undefined` after a refusal, or to ask again. */
+  /**
+   * Resolves to the granted server, or to `undefined` if the request was refused,
+   * was cancelled, or has to request another grant.
+   */
   async #requestGrant(
     grant: number,
   ): Promise<{ id: string; server: ServerRecord } | undefined> {
-    const { grantClient: granter, clock, findServer: server } = this.#context;
+    const { grantClient, clock, findServer } = this.#context;
     const { route, service, organisation, cost, charge } = this.#resolved;
     const { tierRank, routeRank } = this.#resolved;
-    const asked = clock();
-    const { lastEvent } = this.#progress;
-    const from = lastEvent === undefined ? this.#call.arrivedAt : asked;
-    const { id, result: answer } = granter.submit({
+    const requestedAt = clock();
+    const { lastEventId } = this.#progress;
+    const from = lastEventId === undefined
+      ? this.#parsed.arrivedAt
+      : requestedAt;
+    const { id, result } = grantClient.submit({
       service,
       organisation,
       tierRank,
@@ -146,8 +157,8 @@
       cost,
       charge,
       dataCentre: this.#context.dataCentre,
-      arrived: this.#call.arrivedAt,
-      latencyGoalAt: this.#call.arrivedAt + route.latencyGoal,
+      arrived: this.#parsed.arrivedAt,
+      latencyGoalAt: this.#parsed.arrivedAt + route.latencyGoal,
       expiresAt: Math.min(
         grantDeadline(this.#resolved, from),
         this.#context.drainAdmission.latestStartTime(this.#resolved),
@@ -157,127 +168,128 @@
       jitter: this.#context.random(),
       excludedServers: [...this.#excludedServers],
     });
-    const verdict = await this.#unlessCancelled(answer);
-    if (verdict === undefined) {
-      granter.withdraw(id);
+    const grantResult = await this.#unlessCancelled(result);
+    if (grantResult === undefined) {
+      grantClient.withdraw(id);
       return undefined;
     }
-    if (verdict.kind === "refuse") {
-      this.#giveUp(verdict.reason, verdict.retryAfter, verdict);
+    if (grantResult.kind === "refuse") {
+      this.#giveUp(grantResult.reason, grantResult.retryAfter, grantResult);
       return undefined;
     }
-    const record = server(verdict.server);
+    const record = findServer(grantResult.server);
     if (record === undefined) {
-      // It is leaving, and the one that granted has not heard of it yet.
-      granter.withdraw(id);
-      this.#excludedServers.push(verdict.server);
+      // The server is draining, and the granting entry does not know it yet.
+      grantClient.withdraw(id);
+      this.#excludedServers.push(grantResult.server);
       return undefined;
     }
-    const waited = clock() - asked;
-    const { by } = verdict;
+    const waited = clock() - requestedAt;
+    const { by } = grantResult;
     this.#report.granted(record, { waited, by, attempt: grant });
     return { id, server: record };
   }
 
-  async #sendToServer(ask: string, server: ServerRecord): Promise<void> {
-    const { connectionPool: pool, grantClient: granter } = this.#context;
+  async #sendToServer(grantId: string, server: ServerRecord): Promise<void> {
+    const { connectionPool, grantClient } = this.#context;
     const incarnation = incarnationOf(server);
     const strict = !isRepeatable(this.#resolved.route);
-    const channel = await pool.acquire(server, strict);
-    if (channel.isErr) {
-      // Nothing reached the server, so no resend is spent.
-      granter.recordEnd(ask, channel.error);
+    const connection = await connectionPool.acquire(server, strict);
+    if (connection.isErr) {
+      // Nothing reached the server, so this does not consume the retry budget.
+      grantClient.recordEnd(grantId, connection.error);
       this.#excludedServers.push(incarnation);
-      this.#report.retried(server, channel.error, this.#serversSentTo);
+      this.#report.retried(server, connection.error, this.#serversSentTo);
       return;
     }
     if (
       this.#caller.disconnected || this.#timedOut ||
       this.#excludeIfUnusable(incarnation)
     ) {
-      granter.withdraw(ask);
-      pool.release(server, channel.value);
+      grantClient.withdraw(grantId);
+      connectionPool.release(server, connection.value);
       return;
     }
-    const at = { ask, server, channel: channel.value };
-    this.#handleResult(at, await this.#runAttempt(at));
+    const target = { grantId, server, connection: connection.value };
+    this.#handleResult(target, await this.#runAttempt(target));
   }
 
+  /** Excludes the server if it may not be used any more; returns true if so. */
   #excludeIfUnusable(incarnation: string): boolean {
     if (this.#context.findServer(incarnation) !== undefined) return false;
     this.#excludedServers.push(incarnation);
     return true;
   }
 
-  async #runAttempt(at: AttemptTarget): Promise<AttemptResult> {
+  async #runAttempt(target: AttemptTarget): Promise<AttemptResult> {
     const context = this.#context;
     const attempt = new ServerAttempt({
       context,
-      call: this.#call,
+      parsed: this.#parsed,
       resolved: this.#resolved,
       caller: this.#caller,
       body: this.#body,
       progress: this.#progress,
-    }, at);
+    }, target);
     this.#cancelStep = () => attempt.abort();
     this.#serversSentTo++;
     this.#mayHaveRun = true;
-    const end = await attempt.run(
+    const result = await attempt.run(
       this.#mayUseAnotherServer()
-        ? () => this.#abandonSilentServer(at.server)
+        ? () => this.#abandonSilentServer(target.server)
         : undefined,
     );
     this.#cancelStep = undefined;
-    return end;
+    return result;
   }
 
-  /** True if the request goes on elsewhere while its server is silent. */
+  /** Returns true if the silent server is given up and the request is retried. */
   #abandonSilentServer(server: ServerRecord): boolean {
     this.#retryConsumed = this.#consumeRetry(server, "silent");
     return this.#retryConsumed;
   }
 
   #handleResult(
-    { ask, server, channel }: AttemptTarget,
-    { end, runEnd }: AttemptResult,
+    { grantId, server, connection }: AttemptTarget,
+    { result, runOutcome }: AttemptResult,
   ): void {
     const {
-      grantClient: granter,
-      connectionPool: pool,
-      activeConfiguration: inForce,
+      grantClient,
+      connectionPool,
+      activeConfiguration,
       clock,
     } = this.#context;
-    const { services } = inForce()?.configuration ?? {};
+    const { services } = activeConfiguration()?.configuration ?? {};
     const { route, service } = this.#resolved;
-    const pace = this.#progress.timing(this.#serversSentTo, {
+    const timing = this.#progress.timing(this.#serversSentTo, {
       tokensPerEvent: services?.get(service)?.tokensPerEvent ?? 1,
       acceptedPause: route.pauseGoal,
     }, clock());
-    granter.recordEnd(ask, runEnd, pace);
-    switch (end.kind) {
+    grantClient.recordEnd(grantId, runOutcome, timing);
+    switch (result.kind) {
       case "stream":
-        pool.release(server, channel);
-        this.#response.endStream(server, end.closeDelimited, this.#progress);
+        connectionPool.release(server, connection);
+        this.#response.endStream(server, result.closeDelimited, this.#progress);
         return;
       case "plain":
-        pool.release(server, channel);
-        this.#handlePlainResponse(server, end);
+        connectionPool.release(server, connection);
+        this.#handlePlainResponse(server, result);
         return;
       case "not_run":
-        pool.release(server, channel);
+        connectionPool.release(server, connection);
         this.#uncountServer();
         this.#excludedServers.push(incarnationOf(server));
         this.#retryOrRefuse(server, "not_run");
         return;
       case "broken":
         this.#excludedServers.push(incarnationOf(server));
-        this.#handleBrokenResponse(server, end.detail);
+        this.#handleBrokenResponse(server, result.detail);
         return;
       case "aborted":
     }
   }
 
-  /** A server said that it did not run what was sent to it last. */
+  /** Takes the last server off the count, as it stated that it ran nothing. */
   #uncountServer(): void {
     this.#serversSentTo--;
     this.#mayHaveRun = this.#serversSentTo > 0;
@@ -285,9 +297,9 @@
 
   #handlePlainResponse(
     server: ServerRecord,
-    end: Extract<ExchangeResult, { kind: "plain" }>,
+    result: Extract<ExchangeResult, { kind: "plain" }>,
   ): void {
-    const failed = end.head.status >= 500;
+    const failed = result.head.status >= 500;
     if (
       failed && this.#mayUseAnotherServer() &&
       this.#consumeRetry(server, "failed")
@@ -295,7 +307,7 @@
       this.#excludedServers.push(incarnationOf(server));
       return;
     }
-    this.#response.sendPlain(server, end, this.#progress);
+    this.#response.sendPlain(server, result, this.#progress);
   }
 
   #handleBrokenResponse(server: ServerRecord, detail: string): void {
@@ -310,23 +322,23 @@
     else this.#giveUp("broken");
   }
 
-  /** What may have run may go to another server only if it may be repeated. */
+  /** A request that may have run may be retried only if its route allows it. */
   #mayUseAnotherServer(): boolean {
     const { route } = this.#resolved;
     return isRepeatable(route) && this.#serversSentTo < route.maximumServers;
   }
 
-  /** Goes on after a try that did not run the request, or answers finally. */
+  /** Retries after an attempt that did not run the request, or refuses it. */
   #retryOrRefuse(server: ServerRecord, reason: string): void {
     if (this.#consumeRetry(server, reason)) return;
     this.#giveUp("not_run", DEFAULT_RETRY_AFTER);
   }
 
-  /** Takes a resend from the service's budget; false when it is spent. */
+  /** Takes a retry from the service's budget; false if the budget is exhausted. */
   #consumeRetry(server: ServerRecord, reason: string): boolean {
-    const { consumeRetry: takeResend, clock } = this.#context;
+    const { consumeRetry, clock } = this.#context;
     const { service } = this.#resolved;
-    if (!takeResend(service, clock())) return false;
+    if (!consumeRetry(service, clock())) return false;
     this.#report.retried(server, reason, this.#serversSentTo);
     return true;
   }
@@ -334,27 +346,27 @@
   #giveUp(
     reason: ErrorReason,
     retryAfter?: number,
-    decided?: GiveUpOptions["decision"],
+    decision?: GiveUpOptions["decision"],
   ): void {
     this.#response.giveUp({
       reason,
       mayHaveRun: this.#mayHaveRun,
       remainingTime: this.#resolved.deadline - this.#context.clock(),
       retryAfter,
-      decision: decided,
+      decision,
     });
   }
 
-  /** The answer, or `undefined` once the caller left or the time was up. */
+  /** The result, or `undefined` if the caller disconnects or the time is up first. */
   #unlessCancelled(
-    answer: Promise<GrantResult>,
+    result: Promise<GrantResult>,
   ): Promise<GrantResult | undefined> {
     return new Promise((resolve) => {
       this.#cancelStep = () => resolve(undefined);
       if (this.#caller.disconnected || this.#timedOut) resolve(undefined);
-      void answer.then((verdict) => {
+      void result.then((grantResult) => {
         this.#cancelStep = undefined;
-        resolve(verdict);
+        resolve(grantResult);
       });
     });
   }
--- a/packages/gateway/src/request/resolve_request.ts
+++ b/packages/gateway/src/request/resolve_request.ts
@@ -1,4 +1,4 @@
-/** From a call to its route, organisation and service, or a refusal. @module */
+/** Resolves a request to its route, organisation and service. @module */
 import { chooseService } from "@sycamorepulley/decisions";
 import type { Cost, Route } from "@sycamorepulley/decisions";
 import { Result } from "true-myth/result";
@@ -8,68 +8,75 @@
   Organisation,
 } from "../state/gateway_configuration.ts";
 
-/** What is known of a call before it is placed. */
+/** What is known of a request before a server is requested for it. */
 export type ResolvedRequest = {
   route: Route;
   service: string;
-  /** Empty where the route asks for no credential. */
+  /** Empty if the route requires no credential. */
   organisation: string;
   tierRank: number;
-  /** Orders requests of one tier; 0 where the tier is the route's own. */
+  /** Orders requests of one tier; 0 if the tier is the one of the route. */
   routeRank: number;
   cost: Cost;
-  /** Tokens that the quota is charged. */
+  /** Units charged to the quota: tokens, or 1 if the quota counts requests. */
   charge: number;
-  /** Instant of the last answer that helps anybody. */
+  /** Instant after which a response is of no use to the caller. */
   deadline: number;
 };
 
-/** Why a call is refused before it is placed. */
+/** Why a request is refused before a server is requested for it. */
 export type ResolutionError =
   | "no_configuration"
   | "no_route"
   | "bad_credential";
 
 /**
- * Expected tokens of an answer over the most that its caller allows, where the
- * caller gives no estimate.
+ * Expected output tokens as a share of the largest number that the caller allows, if
+ * it gives no estimate.
  */
 const EXPECTED_OUTPUT_SHARE = 0.1;
+/** Cost, in tokens, of a request that states no token usage. */
 const PLAIN_REQUEST_COST: Cost = { promptTokens: 0, outputTokens: 1 };
 
-/** Resolves by the configuration in force; `draw` in [0, 1) splits traffic. */
+/**
+ * Resolves a request by the configuration in force. `randomDraw`, in [0, 1), selects
+ * the service if the route splits its traffic.
+ */
 export function resolveRequest(
-  call: ParsedRequest,
-  inForce: ActiveConfiguration | undefined,
+  parsed: ParsedRequest,
+  activeConfiguration: ActiveConfiguration | undefined,
   randomDraw: number,
 ): Result<ResolvedRequest, ResolutionError> {
-  if (inForce === undefined) return Result.err("no_configuration");
-  const route = inForce.routes.find(call.host, call.target);
+  if (activeConfiguration === undefined) return Result.err("no_configuration");
+  const route = activeConfiguration.routes.find(parsed.host, parsed.target);
   const service = route && chooseService(route, randomDraw);
   if (route === undefined || service === undefined) {
     return Result.err("no_route");
   }
-  const asked = !route.allowsAnonymous &&
-    inForce.configuration.organisations.length > 0;
-  const organisation = inForce.organisationOf(call.credential);
-  if (asked && organisation === undefined) return Result.err("bad_credential");
-  const known = asked ? organisation : undefined;
-  const { statedTokens: tokens } = call;
-  const stated = tokens?.outputTokens ?? 0;
-  const expected = call.expectedOutputTokens ?? stated * EXPECTED_OUTPUT_SHARE;
+  const credentialRequired = !route.allowsAnonymous &&
+    activeConfiguration.configuration.organisations.length > 0;
+  const organisation = activeConfiguration.organisationOf(parsed.credential);
+  if (credentialRequired && organisation === undefined) {
+    return Result.err("bad_credential");
+  }
+  const identified = credentialRequired ? organisation : undefined;
+  const { statedTokens: tokens } = parsed;
+  const maxOutputTokens = tokens?.outputTokens ?? 0;
+  const expected = parsed.expectedOutputTokens ??
+    maxOutputTokens * EXPECTED_OUTPUT_SHARE;
   return Result.ok({
     route,
     service,
-    organisation: known?.name ?? "",
-    tierRank: known?.tierRank ?? route.tierRank,
-    routeRank: known?.tierRank === undefined ? 0 : route.tierRank,
+    organisation: identified?.name ?? "",
+    tierRank: identified?.tierRank ?? route.tierRank,
+    routeRank: identified?.tierRank === undefined ? 0 : route.tierRank,
     cost: tokens === undefined ? PLAIN_REQUEST_COST : {
       promptTokens: tokens.promptTokens,
-      outputTokens: Math.min(stated, Math.round(expected)),
+      outputTokens: Math.min(maxOutputTokens, Math.round(expected)),
     },
-    charge: quotaCharge(known, tokens),
-    deadline: call.arrivedAt +
-      Math.min(call.remainingTime ?? Infinity, route.timeout),
+    charge: quotaCharge(identified, tokens),
+    deadline: parsed.arrivedAt +
+      Math.min(parsed.remainingTime ?? Infinity, route.timeout),
   });
 }
 
--- a/packages/gateway/src/request/response_progress.ts
+++ b/packages/gateway/src/request/response_progress.ts
@@ -1,26 +1,27 @@
-/** How far the answer to one request has come, over all servers tried. @module */
+/** Progress of the response to one request, over all attempts. @module */
 
 import type { StreamTiming } from "@sycamorepulley/decisions";
 
+/** Timing of a response that tells nothing about the speed of its server. */
 const NO_TIMING: StreamTiming = { tokens: 0, measured: 0, pausePart: 0 };
 
-/** Times are those of the clock that the caller passes. */
+/** Instants are those of the clock whose time is passed in. */
 export class ResponseProgress {
   /** Id of the last event passed on. */
-  lastEvent: string | undefined;
+  lastEventId: string | undefined;
   firstPartAt: number | undefined;
   eventCount = 0;
   longestPause = 0;
   #lastEventsAt: number | undefined;
 
-  /** The first part of an answer came. */
+  /** Records the arrival of the first part of a response. */
   recordFirstPart(now: number): void {
     this.firstPartAt ??= now;
   }
 
-  /** Events were passed on. */
-  recordEvents(lastId: string | undefined, now: number): void {
-    this.lastEvent = lastId ?? this.lastEvent;
+  /** Records that events were passed on to the caller. */
+  recordEvents(eventId: string | undefined, now: number): void {
+    this.lastEventId = eventId ?? this.lastEventId;
     this.eventCount++;
     const pause = now - (this.#lastEventsAt ?? now);
     this.#lastEventsAt = now;
@@ -28,21 +29,24 @@
   }
 
   /**
-   * What a server's pace is learned from; nothing where several had a part.
-   * `acceptedPause` in milliseconds, if the route states one.
+   * Timing by which the server is judged; empty if several servers took part.
+   * `acceptedPause`: longest pause in milliseconds that the route allows, if it
+   * states one.
    */
   timing(
     serverCount: number,
     stream: { tokensPerEvent: number; acceptedPause: number | undefined },
     now: number,
   ): StreamTiming {
-    const events = Math.max(0, this.eventCount - 1);
-    if (events === 0 || serverCount > 1 || this.firstPartAt === undefined) {
+    const laterEvents = Math.max(0, this.eventCount - 1);
+    if (
+      laterEvents === 0 || serverCount > 1 || this.firstPartAt === undefined
+    ) {
       return NO_TIMING;
     }
     const { tokensPerEvent, acceptedPause } = stream;
     return {
-      tokens: events * tokensPerEvent,
+      tokens: laterEvents * tokensPerEvent,
       measured: now - this.firstPartAt,
       pausePart: this.longestPause / (acceptedPause ?? Infinity),
     };
--- a/packages/gateway/src/request/retry_budgets.ts
+++ b/packages/gateway/src/request/retry_budgets.ts
@@ -1,15 +1,15 @@
-/** This entry's part of the resends that a service allows. @module */
+/** This entry's share of the retries that a service allows. @module */
 import { RetryBudget } from "@sycamorepulley/decisions";
 import type { RetryBudgetOptions } from "@sycamorepulley/decisions";
 import type { GatewayBounds } from "../settings.ts";
 
-/** Part of the fleet's resends that is used: others may count otherwise. */
+/** Share of the fleet's retries that is used, as others may count them differently. */
 const USED_SHARE = 0.6;
 
-/** Takes a resend of the service; false when its budget is spent. */
+/** Takes a retry from the budget of the service; false if it is exhausted. */
 export type ConsumeRetry = (service: string, now: number) => boolean;
 
-/** One budget a service, by the bounds and the number of entries at each time. */
+/** Keeps a budget for each service, by the current bounds and number of entries. */
 export function createRetryBudgets(
   bounds: () => GatewayBounds,
   entries: () => number,
@@ -17,9 +17,9 @@
   const budgets = new Map<string, RetryBudget>();
   return (service, now) => {
     const options = budgetOptions(bounds(), Math.max(1, entries()));
-    const known = budgets.get(service);
-    known?.configure(options, now);
-    const budget = known ?? new RetryBudget(options);
+    const existing = budgets.get(service);
+    existing?.configure(options, now);
+    const budget = existing ?? new RetryBudget(options);
     budgets.set(service, budget);
     return budget.tryTake(now);
   };
--- a/packages/gateway/src/request/server_attempt.ts
+++ b/packages/gateway/src/request/server_attempt.ts
@@ -1,4 +1,4 @@
-/** One try of a request at one backend server, passed on to its caller. @module */
+/** One attempt to run a request at one backend server. @module */
 import { incarnationOf } from "@sycamorepulley/decisions";
 import type { RunOutcome, ServerRecord } from "@sycamorepulley/decisions";
 import type { BackendConnection } from "../backend/backend_connection.ts";
@@ -13,30 +13,33 @@
 import type { ResolvedRequest } from "./resolve_request.ts";
 import { SilenceWatchdog } from "./silence_watchdog.ts";
 
-/** Milliseconds without a first part that tell of a dark server. */
+/**
+ * Milliseconds without a first part of the response after which a server counts as
+ * unresponsive.
+ */
 const UNRESPONSIVE_AFTER = 1500;
 
-/** What is tried. */
+/** The request, and the state that all attempts of it share. */
 export type AttemptRequest = {
   context: RequestContext;
-  call: ParsedRequest;
+  parsed: ParsedRequest;
   resolved: ResolvedRequest;
   caller: CallerConnection;
   body: Buffer | undefined;
   progress: ResponseProgress;
 };
 
-/** Where it is tried; `ask` is the grant's. */
+/** The granted server and a connection to it; `grantId` is the id of the grant. */
 export type AttemptTarget = {
-  ask: string;
+  grantId: string;
   server: ServerRecord;
-  channel: BackendConnection;
+  connection: BackendConnection;
 };
 
-/** How it ended, and what that tells of the server. */
-export type AttemptResult = { end: ExchangeResult; runEnd: RunOutcome };
+/** How an attempt ended, and the outcome that the server is judged by. */
+export type AttemptResult = { result: ExchangeResult; runOutcome: RunOutcome };
 
-/** See the module. */
+/** Sends a request to a server and passes the response on to the caller. */
 export class ServerAttempt {
   readonly #request: AttemptRequest;
   readonly #target: AttemptTarget;
@@ -51,71 +54,78 @@
     this.#exchange = this.#createExchange();
   }
 
-  /** Gives the try up; the server is told by the end of its connection. */
+  /** Cancels the attempt; closing the connection tells the server. */
   abort(): void {
     this.#exchange.abort();
   }
 
-  /** `silent` is called after a silence, if given; true gives the server up. */
-  async run(silent: (() => boolean) | undefined): Promise<AttemptResult> {
-    const { context, call, resolved, body, progress } = this.#request;
-    const { clock, headerNames: names, drainAdmission: closing } = context;
+  /**
+   * Runs to the end of the response. `onSilence`, if given, is called when the
+   * server has been silent for too long; the attempt fails if it returns true.
+   */
+  async run(onSilence: (() => boolean) | undefined): Promise<AttemptResult> {
+    const { context, parsed, resolved, body, progress } = this.#request;
+    const { clock, headerNames, drainAdmission } = context;
     const { server } = this.#target;
-    this.#watchdog = silent && this.#createWatchdog(silent);
+    this.#watchdog = onSilence && this.#createWatchdog(onSilence);
     this.#exchange.start({
-      method: call.method,
-      target: call.target,
+      method: parsed.method,
+      target: parsed.target,
       headers: backendHeaders({
-        names,
-        call,
+        headerNames,
+        parsed,
         resolved,
         server,
-        lastEvent: progress.lastEvent,
+        lastEventId: progress.lastEventId,
         now: this.#sentAt,
       }),
       body,
     });
-    const end = await this.#exchange.done;
+    const result = await this.#exchange.done;
     this.#watchdog?.stop();
     const time = clock() - this.#sentAt;
-    if (end.kind === "stream") {
-      closing.streamDurations.observe(resolved.cost, time);
+    if (result.kind === "stream") {
+      drainAdmission.streamDurations.observe(resolved.cost, time);
     }
-    const dark = !this.#exchange.firstPartReceived && time > UNRESPONSIVE_AFTER;
-    // Its caller left a server that had said nothing for long.
-    const sawDark = end.kind === "aborted" && dark;
-    return { end, runEnd: sawDark ? "broken" : runEndOf(end) };
+    const unresponsive = !this.#exchange.firstPartReceived &&
+      time > UNRESPONSIVE_AFTER;
+    // The caller disconnected while the server had sent nothing for a long time.
+    const leftUnresponsive = result.kind === "aborted" && unresponsive;
+    return {
+      result,
+      runOutcome: leftUnresponsive ? "broken" : runOutcomeOf(result),
+    };
   }
 
-  #createWatchdog(silent: () => boolean): SilenceWatchdog {
-    const limits = silenceTimeouts(this.#request.resolved.route);
-    return new SilenceWatchdog(limits, () => {
-      if (!silent()) return false;
+  #createWatchdog(onSilence: () => boolean): SilenceWatchdog {
+    const timeouts = silenceTimeouts(this.#request.resolved.route);
+    return new SilenceWatchdog(timeouts, () => {
+      if (!onSilence()) return false;
       this.#exchange.fail("silent");
       return true;
     });
   }
 
   #createExchange(): Exchange {
-    const { context, call, caller, progress } = this.#request;
-    const { clock, grantClient: granter, headerNames: names } = context;
-    const { ask, server, channel } = this.#target;
+    const { context, parsed, caller, progress } = this.#request;
+    const { clock, grantClient, headerNames } = context;
+    const { grantId, server, connection } = this.#target;
     return new Exchange({
-      names,
-      request: call.requestId,
-      channel,
-      answered: ({ headers }) => {
-        const limit = headers[names.serverLimit.toLowerCase()];
-        granter.limits.observe(incarnationOf(server), limit, this.#sentAt);
+      headerNames,
+      requestId: parsed.requestId,
+      connection,
+      onHead: ({ headers }) => {
+        const limit = headers[headerNames.serverLimit.toLowerCase()];
+        grantClient.limits.observe(incarnationOf(server), limit, this.#sentAt);
       },
-      first: () => {
+      onFirstPart: () => {
         progress.recordFirstPart(clock());
-        granter.recordResponseStart(ask, clock() - this.#sentAt);
+        grantClient.recordResponseStart(grantId, clock() - this.#sentAt);
       },
       sink: {
-        begin: (head) => caller.startStream(head),
-        events: (events, lastId) => {
-          progress.recordEvents(lastId, clock());
+        onStart: (head) => caller.startStream(head),
+        onEvents: (events, lastEventId) => {
+          progress.recordEvents(lastEventId, clock());
           this.#watchdog?.reset();
           caller.sendEvents(events);
         },
@@ -124,14 +134,14 @@
   }
 }
 
-function runEndOf(end: ExchangeResult): RunOutcome {
-  switch (end.kind) {
+function runOutcomeOf(result: ExchangeResult): RunOutcome {
+  switch (result.kind) {
     case "stream":
       return "answered";
     case "plain":
-      return end.head.status >= 500 ? "failed" : "answered";
+      return result.head.status >= 500 ? "failed" : "answered";
     case "not_run":
-      return end.misdirected ? "misdirected" : "not_run";
+      return result.misdirected ? "misdirected" : "not_run";
     case "broken":
       return "broken";
     case "aborted":
--- a/packages/gateway/src/request/silence_watchdog.ts
+++ b/packages/gateway/src/request/silence_watchdog.ts
@@ -1,33 +1,33 @@
 /**
- * Notices a server that has fallen silent.
+ * Detects a server that has stopped sending.
  *
- * A server that goes dark, or a connection that went silent, closes nothing. Its
- * callers wait for two seconds, leave, and count the answer as lost; noticed in
- * half of that time the request can still go on at another server.
+ * A server or network that fails silently closes no connection. Callers wait for two
+ * seconds, disconnect, and count the response as lost. If the silence is detected in
+ * half of that time, the request can still be retried at another server.
  * @module
  */
 
-/** Milliseconds of silence that are waited for. */
+/** Tolerated silences in milliseconds. */
 export type SilenceTimeouts = {
-  /** Until the first part of the answer. */
+  /** Until the first part of the response. */
   firstPart: number;
-  /** Between parts. */
+  /** Between one part and the next. */
   nextPart: number;
 };
 
-/** Calls `silent` after a silence; if that returns false, watches on. */
+/** Calls `onSilence` after a silence; restarts if that returns false. */
 export class SilenceWatchdog {
   readonly #timeouts: SilenceTimeouts;
   readonly #onSilence: () => boolean;
   #timer: NodeJS.Timeout;
 
-  constructor(limits: SilenceTimeouts, silent: () => boolean) {
-    this.#timeouts = limits;
-    this.#onSilence = silent;
-    this.#timer = setTimeout(() => this.#onTimeout(), limits.firstPart);
+  constructor(timeouts: SilenceTimeouts, onSilence: () => boolean) {
+    this.#timeouts = timeouts;
+    this.#onSilence = onSilence;
+    this.#timer = setTimeout(() => this.#onTimeout(), timeouts.firstPart);
   }
 
-  /** A part of the answer came. */
+  /** Restarts the timer, as a part of the response arrived. */
   reset(): void {
     clearTimeout(this.#timer);
     this.#timer = setTimeout(() => this.#onTimeout(), this.#timeouts.nextPart);
--- a/packages/gateway/src/request/timeouts.ts
+++ b/packages/gateway/src/request/timeouts.ts
@@ -1,56 +1,65 @@
-/** How long a request waits: for a place, and for a server that is silent. @module */
+/** How long a request waits: for a grant, and for a silent server. @module */
 import type { Route } from "@sycamorepulley/decisions";
 import type { ResolvedRequest } from "./resolve_request.ts";
 import type { SilenceTimeouts } from "./silence_watchdog.ts";
 
-/** Milliseconds that must be left for a server to be sent anything. */
+/** Least remaining time, in milliseconds, for a request to be sent to a server. */
 export const MIN_REMAINING_TIME = 20;
 /**
- * Milliseconds after which callers of a stream leave while nothing comes: the
- * longest of this, four times the goal and eight times the longest pause.
+ * Milliseconds without data after which callers of a stream disconnect: the largest
+ * of this, four times the latency goal and eight times the longest allowed pause.
  */
 const CALLER_STREAM_TIMEOUT = 2000;
+/** That timeout as a multiple of the latency goal. */
 const CALLER_STREAM_TIMEOUT_GOALS = 4;
+/** That timeout as a multiple of the longest allowed pause. */
 const CALLER_STREAM_TIMEOUT_PAUSES = 8;
-/** Milliseconds of that patience that a server needs for a first event. */
+/** Milliseconds of that timeout that a server needs to send its first event. */
 const FIRST_EVENT_RESERVE = 400;
 /**
- * Silences after which a request that may be repeated is sent elsewhere: goals
- * until the first part, allowed pauses between parts, and their least time in
- * milliseconds. First parts come within 0.3 s of sending, as only free places
- * are granted; callers leave after 2 s.
+ * Silence until the first part after which a repeatable request is retried at another
+ * server, as a multiple of the latency goal. First parts arrive within 0.3 s of
+ * sending, as only free slots are granted; callers disconnect after 2 s.
  */
 const FIRST_PART_TIMEOUT_GOALS = 2;
+/** The same between later parts, as a multiple of the longest allowed pause. */
 const NEXT_PART_TIMEOUT_PAUSES = 4;
+/** Lower bound of both silences in milliseconds. */
 const MIN_SILENCE_TIMEOUT = 400;
 
 /**
- * Part of a caller's time that its request waits for a place at most: refused
- * then, it can come back and still be answered whole.
+ * Largest share of a caller's time that its request waits for a grant. A caller that
+ * is refused then can retry and still get a complete response in time.
  */
 const MAX_WAIT_SHARE = 0.25;
 
-/** Instant after which a place is of no use; `from`: its caller heard something. */
+/**
+ * Instant after which a grant is of no use. `from`: when the caller last received
+ * something, or sent its request.
+ */
 export function grantDeadline(resolved: ResolvedRequest, from: number): number {
-  const { route, deadline: limitAt } = resolved;
-  const longest = from + (limitAt - from) * MAX_WAIT_SHARE;
-  if (route.repeatability !== "streaming") return limitAt - MIN_REMAINING_TIME;
+  const { route, deadline } = resolved;
+  const latest = from + (deadline - from) * MAX_WAIT_SHARE;
+  if (route.repeatability !== "streaming") return deadline - MIN_REMAINING_TIME;
   const callerTimeout = Math.max(
     CALLER_STREAM_TIMEOUT,
     CALLER_STREAM_TIMEOUT_GOALS * route.latencyGoal,
     CALLER_STREAM_TIMEOUT_PAUSES * (route.pauseGoal ?? 0),
   );
-  return Math.min(longest, from + callerTimeout - FIRST_EVENT_RESERVE);
+  return Math.min(latest, from + callerTimeout - FIRST_EVENT_RESERVE);
 }
 
-/** Silences that a request of the route waits for. */
+/** Silences of a server, in milliseconds, that a request of the route tolerates. */
 export function silenceTimeouts(route: Route): SilenceTimeouts {
-  const { latencyGoal: goal, pauseGoal: longestPause } = route;
+  const { latencyGoal, pauseGoal } = route;
   return {
-    firstPart: Math.max(MIN_SILENCE_TIMEOUT, FIRST_PART_TIMEOUT_GOALS * goal),
+    firstPart: Math.max(
+      MIN_SILENCE_TIMEOUT,
+      FIRST_PART_TIMEOUT_GOALS * latencyGoal,
+    ),
     nextPart: Math.max(
       MIN_SILENCE_TIMEOUT,
-      NEXT_PART_TIMEOUT_PAUSES * (longestPause ?? goal),
+      NEXT_PART_TIMEOUT_PAUSES * (pauseGoal ?? latencyGoal),
     ),
   };
 }
--- a/packages/gateway/test/fake_backend_server.ts
+++ b/packages/gateway/test/fake_backend_server.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import type { AddressInfo, Socket } from "node:net";
 
-/** What a stand-in server got. */
+/** A request that a fake backend server received. */
 export type ReceivedRequest = {
   method: string;
   target: string;
@@ -10,14 +10,14 @@
   body: string;
 };
 
-/** Answers one request; `socket` is for faults. */
+/** Responds to one request; `socket` allows connection failures. */
 export type Respond = (
   response: ServerResponse,
   received: ReceivedRequest,
   socket: Socket,
 ) => void;
 
-/** A backend server of tests: records what it gets, answers as told. */
+/** Backend server for tests: records requests, and responds by `respond`. */
 export class FakeBackendServer {
   readonly receivedRequests: ReceivedRequest[] = [];
   readonly #server: Server;
@@ -58,7 +58,7 @@
   }
 }
 
-/** The head of a server's own answer. */
+/** Writes the head of a response with request id and seal. */
 export function writeSealedHead(
   response: ServerResponse,
   received: ReceivedRequest,
@@ -71,7 +71,7 @@
   });
 }
 
-/** The same for a stream of events. */
+/** Writes the head of a response that is a stream of events. */
 export function startEventStream(
   response: ServerResponse,
   received: ReceivedRequest,
@@ -81,14 +81,14 @@
   });
 }
 
-/** One event of a stream. */
+/** Text of one event of a stream. */
 export function streamEvent(id: number): string {
   return `id: ${id}\ndata: piece ${id}\n\n`;
 }
 
-/** The start of an answer as bytes, on a connection that is to close after it. */
+/** Start of a raw HTTP response whose connection closes after it. */
 export function rawResponseHead(received: ReceivedRequest): string {
-  const name = String(received.headers["x-request"]);
-  return `HTTP/1.1 200 OK\r\nConnection: close\r\nX-Request: ${name}\r\n` +
+  const requestId = String(received.headers["x-request"]);
+  return `HTTP/1.1 200 OK\r\nConnection: close\r\nX-Request: ${requestId}\r\n` +
     "X-Seal: sealed\r\n";
 }
--- a/packages/gateway/test/request_path_test.ts
+++ b/packages/gateway/test/request_path_test.ts
@@ -9,9 +9,9 @@
   writeSealedHead,
 } from "./fake_backend_server.ts";
 
-t.test("a request is forwarded as it is, with the system's own headers", async (t) => {
+t.test("a request is forwarded unchanged, except for the headers that the gateway sets or drops", async (t) => {
   const fixture = await Fixture.startReady();
-  const seen = await fixture.call("/calls/x?q=1", {
+  const response = await fixture.call("/calls/x?q=1", {
     method: "POST",
     body: "text",
     headers: {
@@ -22,15 +22,15 @@
       "x-dropped": "1",
     },
   });
-  t.equal(seen.status, 200);
-  t.equal(seen.headers["x-seal"], "sealed");
-  const received = fixture.servers.flatMap(({ receivedRequests: received }) =>
-    received
+  t.equal(response.status, 200);
+  t.equal(response.headers["x-seal"], "sealed");
+  const received = fixture.servers.flatMap(({ receivedRequests }) =>
+    receivedRequests
   );
   t.equal(received.length, 1);
-  const [got] = received;
-  t.match(got, { method: "POST", target: "/calls/x?q=1", body: "text" });
-  t.match(got?.headers, {
+  const [forwarded] = received;
+  t.match(forwarded, { method: "POST", target: "/calls/x?q=1", body: "text" });
+  t.match(forwarded?.headers, {
     host: "a.example",
     "x-request": "request-1",
     "x-organisation": "firm",
@@ -38,13 +38,13 @@
     "x-other": "kept",
   });
   for (const name of ["x-hold", "x-credential", "x-dropped"]) {
-    t.equal(got?.headers[name], undefined, name);
+    t.equal(forwarded?.headers[name], undefined, name);
   }
-  t.ok(Number(got?.headers["x-time-left"]) <= 1500);
+  t.ok(Number(forwarded?.headers["x-time-left"]) <= 1500);
   await fixture.stop();
 });
 
-t.test("what no configuration allows is refused with its reason", async (t) => {
+t.test("a request that the configuration does not allow is refused with the matching status", async (t) => {
   const fixture = await Fixture.startReady();
   t.equal((await fixture.call("/none/")).status, 404);
   const wrong = { "x-credential": "wrong" };
@@ -54,14 +54,14 @@
   const head = { "x-long": "x".repeat(16_400) };
   t.equal((await fixture.call("/calls/", { headers: head })).status, 431);
   t.equal(
-    fixture.servers.flatMap(({ receivedRequests: received }) => received)
+    fixture.servers.flatMap(({ receivedRequests }) => receivedRequests)
       .length,
     0,
   );
   await fixture.stop();
 });
 
-t.test("an idempotent call goes to another server after a broken answer", async (t) => {
+t.test("an idempotent request is retried at another server after a truncated response", async (t) => {
   const fixture = await Fixture.startReady();
   let broken = 0;
   for (const server of fixture.servers) {
@@ -73,30 +73,32 @@
       setTimeout(() => socket.destroy(), 20);
     };
   }
-  const seen = await fixture.call("/calls/");
-  t.match(seen, { status: 200, body: "whole", complete: true });
+  const response = await fixture.call("/calls/");
+  t.match(response, { status: 200, body: "whole", complete: true });
   await fixture.stop();
 });
 
-t.test("what may have run is neither sent again nor called not run", async (t) => {
-  // A booking runs and its answer is lost with the connection. Sent again, or
-  // answered 503, it would be booked twice.
+t.test("a request that may have run is neither retried nor reported as not run", async (t) => {
+  // A booking runs and its response is lost: a retry or a 503 would book it twice.
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (_response, _received, socket) => socket.resetAndDestroy();
   }
-  const seen = await fixture.call("/once/", { method: "POST", body: "book" });
-  t.equal(seen.status, 502);
-  t.equal(seen.headers["retry-after"], undefined);
+  const response = await fixture.call("/once/", {
+    method: "POST",
+    body: "book",
+  });
+  t.equal(response.status, 502);
+  t.equal(response.headers["retry-after"], undefined);
   t.equal(
-    fixture.servers.flatMap(({ receivedRequests: received }) => received)
+    fixture.servers.flatMap(({ receivedRequests }) => receivedRequests)
       .length,
     1,
   );
   await fixture.stop();
 });
 
-t.test("a server that says it did not run the call lets another run it", async (t) => {
+t.test("a request that a server states it did not run is retried at another server", async (t) => {
   const fixture = await Fixture.startReady();
   let rejected = 0;
   for (const server of fixture.servers) {
@@ -105,40 +107,48 @@
       response.writeHead(503, { "x-not-run": "1" }).end();
     };
   }
-  const seen = await fixture.call("/once/", { method: "POST", body: "book" });
-  t.match(seen, { status: 200, body: "ran" });
+  const response = await fixture.call("/once/", {
+    method: "POST",
+    body: "book",
+  });
+  t.match(response, { status: 200, body: "ran" });
   await fixture.stop();
 });
 
-t.test("with no server to run it a call is refused truly, with a time", async (t) => {
+t.test("a request that no server runs is refused with 503 and a retry-after header", async (t) => {
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (response) =>
       response.writeHead(503, { "x-not-run": "1" }).end();
   }
-  const seen = await fixture.call("/once/", { method: "POST", body: "book" });
-  t.equal(seen.status, 503);
-  t.ok(Number(seen.headers["retry-after"]) > 0);
+  const response = await fixture.call("/once/", {
+    method: "POST",
+    body: "book",
+  });
+  t.equal(response.status, 503);
+  t.ok(Number(response.headers["retry-after"]) > 0);
   await fixture.stop();
 });
 
-t.test("an answer to another request reaches nobody", async (t) => {
-  // A server answers late, on a kept connection, where the next answer is due.
+t.test("a response to another request is not passed on", async (t) => {
+  // A late response on a reused connection would be taken for the next one.
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (response) =>
       response.writeHead(200, { "x-request": "another", "x-seal": "sealed" })
         .end("another caller's");
   }
-  const seen = await fixture.call("/once/", { method: "POST", body: "book" });
-  t.equal(seen.status, 502);
-  t.notMatch(seen.body, "another caller's");
+  const response = await fixture.call("/once/", {
+    method: "POST",
+    body: "book",
+  });
+  t.equal(response.status, 502);
+  t.notMatch(response.body, "another caller's");
   await fixture.stop();
 });
 
-t.test("an answer without length that ends by a reset isn't whole", async (t) => {
-  // The HTTP client takes such a reset for the end of the answer: callers got
-  // the first half of a body as a complete answer.
+t.test("a response without a length that ends with a reset is not complete", async (t) => {
+  // The HTTP client takes the reset for the end, so half a body would look complete.
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (_response, received, socket) => {
@@ -149,14 +159,16 @@
       setTimeout(() => socket.resetAndDestroy(), 30);
     };
   }
-  const seen = await fixture.call("/once/", { method: "POST", body: "book" });
-  t.equal(seen.status, 502);
+  const response = await fixture.call("/once/", {
+    method: "POST",
+    body: "book",
+  });
+  t.equal(response.status, 502);
   await fixture.stop();
 });
 
-t.test("a chunked answer that ends between two chunks isn't whole", async (t) => {
-  // A server crashes while it answers, on a connection that was to close after
-  // the answer. The HTTP client calls the answer complete.
+t.test("a chunked response that ends between two chunks is not complete", async (t) => {
+  // The HTTP client calls it complete if the connection was to close afterwards.
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (_response, received, socket) => {
@@ -167,12 +179,15 @@
       setTimeout(() => socket.end(), 30);
     };
   }
-  const seen = await fixture.call("/once/", { method: "POST", body: "book" });
-  t.equal(seen.status, 502);
+  const response = await fixture.call("/once/", {
+    method: "POST",
+    body: "book",
+  });
+  t.equal(response.status, 502);
   await fixture.stop();
 });
 
-t.test("a whole chunked answer on a closing connection is passed on", async (t) => {
+t.test("a complete chunked response on a closing connection is passed on", async (t) => {
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (_response, received, socket) => {
@@ -183,15 +198,16 @@
       );
     };
   }
-  const seen = await fixture.call("/once/", { method: "POST", body: "book" });
-  t.match(seen, { status: 200, body: "whole" });
+  const response = await fixture.call("/once/", {
+    method: "POST",
+    body: "book",
+  });
+  t.match(response, { status: 200, body: "whole" });
   await fixture.stop();
 });
 
-t.test("an answer that ends with its connection is passed on as such", async (t) => {
-  // A server crashes while it answers without a length; its connection closes as
-  // at the end of a whole answer. With a length of what had come, the caller took
-  // a thousand bytes of a longer answer for all of it.
+t.test("a close-delimited response is passed on as close-delimited", async (t) => {
+  // With a content length added, a response cut short by a crash would look complete.
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (_response, received, socket) => {
@@ -201,29 +217,32 @@
       );
     };
   }
-  const seen = await fixture.call("/once/", { method: "POST", body: "book" });
-  t.match(seen, { status: 200, body: "part or whole" });
-  t.equal(seen.headers["content-length"], undefined);
-  t.equal(seen.headers["transfer-encoding"], undefined);
-  t.equal(seen.headers.connection, "close");
+  const response = await fixture.call("/once/", {
+    method: "POST",
+    body: "book",
+  });
+  t.match(response, { status: 200, body: "part or whole" });
+  t.equal(response.headers["content-length"], undefined);
+  t.equal(response.headers["transfer-encoding"], undefined);
+  t.equal(response.headers.connection, "close");
   await fixture.stop();
 });
 
-t.test("a caller that leaves frees its server at once", async (t) => {
+t.test("the connection to the server is closed as soon as the caller disconnects", async (t) => {
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (response, received) => {
       startEventStream(response, received).write(streamEvent(1));
     };
   }
-  const leave = new AbortController();
+  const abortController = new AbortController();
   const call = fixture.call("/stream/", {
     method: "POST",
     body: "{}",
-    signal: leave.signal,
+    signal: abortController.signal,
   }).catch(() => undefined);
   await new Promise((resolve) => setTimeout(resolve, 150));
-  leave.abort();
+  abortController.abort();
   await call;
   await new Promise((resolve) => setTimeout(resolve, 150));
   const closed = fixture.servers.map((server) => server.closedConnections);
@@ -231,12 +250,10 @@
   await fixture.stop();
 });
 
-t.test("who left before its request was read is not served", async (t) => {
-  // An entry has no processor time for two seconds after a restart. Callers give
-  // up meanwhile; then it reads their requests, with the ends of their connections
-  // right behind, and sent each to a server before it read the end.
+t.test("a request is not sent to a server if its caller disconnected before it was read", async (t) => {
+  // An entry without processor time for 2 s reads requests whose callers have given up.
   const fixture = await Fixture.startReady();
-  // Leaves a connection to each server, on which a request is sent at once.
+  // Leaves an idle connection to each server, so that a request is sent at once.
   await Promise.all([1, 2, 3, 4, 5, 6].map(() => fixture.call("/calls/")));
   const socket = connect(fixture.ports.front, "127.0.0.1");
   await new Promise((resolve) => socket.once("connect", resolve));
@@ -245,29 +262,30 @@
       "X-Credential: key\r\n\r\n",
   );
   await new Promise((resolve) => setTimeout(resolve, 200));
-  const targets = fixture.servers.flatMap(({ receivedRequests: received }) =>
-    received
+  const targets = fixture.servers.flatMap(({ receivedRequests }) =>
+    receivedRequests
   )
     .map(({ target }) => target);
   t.notOk(targets.includes("/calls/late"));
   await fixture.stop();
 });
 
-t.test("a server that is down costs its callers nothing but a connect", async (t) => {
+t.test("requests succeed at another server if one server refuses connections", async (t) => {
   const fixture = await Fixture.startReady();
   fixture.servers[0].stop();
   for (let count = 0; count < 6; count++) {
-    const seen = await fixture.call("/once/", { method: "POST", body: "x" });
-    t.equal(seen.status, 200);
+    const response = await fixture.call("/once/", {
+      method: "POST",
+      body: "x",
+    });
+    t.equal(response.status, 200);
   }
   t.equal(fixture.servers[1].receivedRequests.length, 6);
   await fixture.stop();
 });
 
-t.test("connects that are refused spend no resends", async (t) => {
-  // Servers crash in series. A refused connect reached nobody, but each spent one
-  // of the resends that a service allows (15 at once here): when they were gone,
-  // callers were refused although other servers had room.
+t.test("refused connections do not consume the retry budget", async (t) => {
+  // Otherwise a series of crashes uses up the budget (15 retries at once here).
   const fixture = await Fixture.startReady();
   const closed = new FakeBackendServer();
   await closed.start();
@@ -279,8 +297,11 @@
       fixture.store.put(`servers/${id}`, storedServer(id, port));
     }
     await new Promise((resolve) => setTimeout(resolve, 100));
-    const seen = await fixture.call("/once/", { method: "POST", body: "x" });
-    t.equal(seen.status, 200, `round ${round}`);
+    const response = await fixture.call("/once/", {
+      method: "POST",
+      body: "x",
+    });
+    t.equal(response.status, 200, `round ${round}`);
   }
   await fixture.stop();
 });
--- a/packages/gateway/test/request_task_test.ts
+++ b/packages/gateway/test/request_task_test.ts
@@ -20,12 +20,11 @@
   draining: false,
 };
 
-t.test("a grant that comes too late is given back", async (t) => {
-  // Places ran out one by one on a busy day: a request whose time was up, or
-  // whose caller had left, as its grant came kept the place for ever.
+t.test("a grant that arrives after the deadline is withdrawn", async (t) => {
+  // Otherwise a late grant, or one after a disconnect, occupies its slot for ever.
   let now = 0;
   const withdrawn: string[] = [];
-  const refused: number[] = [];
+  const errorStatuses: number[] = [];
   const context = {
     headerNames: { requestId: "x-request" },
     clock: () => now,
@@ -54,9 +53,9 @@
   const caller = {
     disconnected: false,
     responseStarted: false,
-    sendError: (status: number) => refused.push(status),
+    sendError: (status: number) => errorStatuses.push(status),
   } as unknown as CallerConnection;
-  const call = {
+  const parsed = {
     requestId: "r",
     forwardedHeaders: [],
     arrivedAt: 0,
@@ -71,8 +70,8 @@
     charge: 0,
     deadline: 1000,
   };
-  await new RequestTask({ context, call, resolved, caller, body: undefined })
+  await new RequestTask({ context, parsed, resolved, caller, body: undefined })
     .run();
   t.same(withdrawn, ["ask-1"]);
-  t.same(refused, [503], "it has not run, and is said so");
+  t.same(errorStatuses, [503], "the status says that it has not run");
 });
--- a/packages/gateway/test/retry_budgets_test.ts
+++ b/packages/gateway/test/retry_budgets_test.ts
@@ -11,20 +11,20 @@
   quotaSlack: 0,
 };
 
-t.test("an entry's part of the resends follows the size of the fleet", (t) => {
-  // Counted once, by an entry that knew no other yet, it stayed the whole.
+t.test("the retry budget of an entry follows the number of entries", (t) => {
+  // Guards against an entry keeping the whole budget that it had while it knew no others.
   let entries = 1;
-  const takeResend = createRetryBudgets(() => BOUNDS, () => entries);
+  const consumeRetry = createRetryBudgets(() => BOUNDS, () => entries);
   const allowed = (now: number) => {
     let count = 0;
-    while (takeResend("calls", now)) count++;
+    while (consumeRetry("calls", now)) count++;
     return count;
   };
-  const alone = allowed(0);
+  const allowedAlone = allowed(0);
   entries = 10;
-  t.ok(allowed(10_000) <= alone / 5);
+  t.ok(allowed(10_000) <= allowedAlone / 5);
   entries = 1;
-  t.ok(allowed(10_000) <= 1, "growing brings no burst");
-  t.ok(allowed(60_000) >= alone - 1);
+  t.ok(allowed(10_000) <= 1, "a larger share allows no burst");
+  t.ok(allowed(60_000) >= allowedAlone - 1);
   t.end();
 });
--- a/packages/gateway/test/stream_path_test.ts
+++ b/packages/gateway/test/stream_path_test.ts
@@ -6,13 +6,13 @@
   writeSealedHead,
 } from "./fake_backend_server.ts";
 
-t.test("a stream goes on at another server, in whole events", async (t) => {
+t.test("a stream is resumed at another server, in complete events", async (t) => {
   const fixture = await Fixture.startReady();
-  let starts = 0;
+  let streamsStarted = 0;
   for (const server of fixture.servers) {
     server.respond = (response, received, socket) => {
       startEventStream(response, received);
-      if (starts++ === 0) {
+      if (streamsStarted++ === 0) {
         response.write(streamEvent(1) + streamEvent(2) + "id: 3\ndata: pie");
         setTimeout(() => socket.destroy(), 30);
         return;
@@ -21,51 +21,57 @@
       response.end(streamEvent(3) + streamEvent(4));
     };
   }
-  const seen = await fixture.call("/resumed/", { method: "POST", body: "{}" });
-  t.equal(seen.body, [1, 2, 3, 4].map(streamEvent).join(""));
-  t.ok(seen.complete);
+  const response = await fixture.call("/resumed/", {
+    method: "POST",
+    body: "{}",
+  });
+  t.equal(response.body, [1, 2, 3, 4].map(streamEvent).join(""));
+  t.ok(response.complete);
   await fixture.stop();
 });
 
-t.test("a stream goes on elsewhere when its server falls silent", async (t) => {
-  // A server went dark in the middle of a stream, and its caller waited in vain.
+t.test("a stream is resumed at another server when its server becomes silent", async (t) => {
+  // Guards against callers waiting for a server that stopped in the middle of a stream.
   const fixture = await Fixture.startReady();
-  let starts = 0;
+  let streamsStarted = 0;
   for (const server of fixture.servers) {
     server.respond = (response, received) => {
       startEventStream(response, received);
-      if (starts++ === 0) response.write(streamEvent(1));
+      if (streamsStarted++ === 0) response.write(streamEvent(1));
       else response.end(streamEvent(2));
     };
   }
-  const seen = await fixture.call("/resumed/", {
+  const response = await fixture.call("/resumed/", {
     method: "POST",
     body: "{}",
     headers: { "x-time-left": "5000" },
   });
-  t.equal(seen.body, streamEvent(1) + streamEvent(2));
-  t.ok(seen.complete);
+  t.equal(response.body, streamEvent(1) + streamEvent(2));
+  t.ok(response.complete);
   await fixture.stop();
 });
 
-t.test("what may not be repeated is waited for, however silent", async (t) => {
+t.test("a request that may not be repeated waits for a silent server", async (t) => {
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (response, received) => {
       setTimeout(() => writeSealedHead(response, received).end("late"), 1300);
     };
   }
-  const seen = await fixture.call("/once/", { method: "POST", body: "book" });
-  t.match(seen, { status: 200, body: "late" });
+  const response = await fixture.call("/once/", {
+    method: "POST",
+    body: "book",
+  });
+  t.match(response, { status: 200, body: "late" });
   t.equal(
-    fixture.servers.flatMap(({ receivedRequests: received }) => received)
+    fixture.servers.flatMap(({ receivedRequests }) => receivedRequests)
       .length,
     1,
   );
   await fixture.stop();
 });
 
-t.test("a stream that can't be resumed ends visibly cut", async (t) => {
+t.test("a stream that can't be resumed is aborted after its last complete event", async (t) => {
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (response, received, socket) => {
@@ -73,11 +79,14 @@
       setTimeout(() => socket.destroy(), 30);
     };
   }
-  const seen = await fixture.call("/stream/", { method: "POST", body: "{}" });
-  t.equal(seen.body, streamEvent(1));
-  t.notOk(seen.complete);
+  const response = await fixture.call("/stream/", {
+    method: "POST",
+    body: "{}",
+  });
+  t.equal(response.body, streamEvent(1));
+  t.notOk(response.complete);
   t.equal(
-    fixture.servers.flatMap(({ receivedRequests: received }) => received)
+    fixture.servers.flatMap(({ receivedRequests }) => receivedRequests)
       .length,
     1,
   );
