--- a/packages/gateway/src/request/final_response.ts
+++ b/packages/gateway/src/request/final_response.ts
@@ -38,9 +38,9 @@
   }
 
   /** Records that the caller has disconnected. */
-  reportDisconnect(state: "sent" | "waiting"): void {
+  recordDisconnect(state: "sent" | "waiting"): void {
     this.#settled = true;
-    this.#report.left(state);
+    this.#report.recordDisconnect(state);
   }
 
   /** Ends a stream that was passed on completely. */
@@ -51,7 +51,7 @@
   ): void {
     this.#settled = true;
     this.#caller.endStream(closeDelimited);
-    this.#report.answered(server, 200, progress);
+    this.#report.recordResponse(server, 200, progress);
   }
 
   /** Sends a server's complete plain response. */
@@ -69,14 +69,14 @@
     }
     this.#settled = true;
     this.#caller.sendResponse(head, body);
-    this.#report.answered(server, head.status, progress);
+    this.#report.recordResponse(server, head.status, progress);
   }
 
   /** Closes the connection, so that a partial response can't look complete. */
   abort(server: ServerRecord | undefined, reason: string): void {
     this.#settled = true;
     this.#caller.abortResponse();
-    this.#report.cut(server, reason);
+    this.#report.recordAbort(server, reason);
   }
 
   /** Sends an error, or aborts a response that has already started. */
@@ -94,7 +94,7 @@
       Math.max(0, remainingTime) * MAX_RETRY_AFTER_SHARE,
     );
     this.#caller.sendError(status, reason, limitedRetryAfter);
-    this.#report.refused(reason, {
+    this.#report.recordRefusal(reason, {
       status,
       retryAfter: limitedRetryAfter ?? 0,
       mayHaveRun,
--- a/packages/gateway/src/request/request_report.ts
+++ b/packages/gateway/src/request/request_report.ts
@@ -24,7 +24,7 @@
   }
 
   /** `waited`: milliseconds until the grant; `attempt`: number of the grant. */
-  granted(
+  recordGrant(
     server: ServerRecord,
     grant: { waited: number; by: string; attempt: number },
   ): void {
@@ -53,7 +53,7 @@
   }
 
   /** `sent`: number of servers that may have run the request. */
-  retried(server: ServerRecord, reason: string, sent: number): void {
+  recordRetry(server: ServerRecord, reason: string, sent: number): void {
     const { metrics, log } = this.#context;
     metrics.retries.inc({ service: this.#resolved.service, reason });
     log.write({
@@ -65,7 +65,7 @@
     });
   }
 
-  refused(
+  recordRefusal(
     reason: ErrorReason,
     response: {
       status: number;
@@ -86,7 +86,7 @@
       request: this.#parsed.requestId,
       status: response.status,
       reason,
-      waited: this.#age(),
+      waited: this.#elapsed(),
       retryAfter: Math.round(response.retryAfter),
       version: this.#version,
       organisation,
@@ -105,8 +105,8 @@
     });
   }
 
-  /** A response that had started was aborted. */
-  cut(server: ServerRecord | undefined, reason: string): void {
+  /** Records that a response was aborted after it had started. */
+  recordAbort(server: ServerRecord | undefined, reason: string): void {
     const { metrics, log } = this.#context;
     metrics.failures.inc({ service: this.#resolved.service, reason: "cut" });
     log.write({
@@ -114,23 +114,23 @@
       request: this.#parsed.requestId,
       server: server?.id ?? "",
       reason,
-      time: this.#age(),
+      time: this.#elapsed(),
     });
   }
 
-  /** The caller disconnected. */
-  left(state: "sent" | "waiting"): void {
+  /** Records that the caller disconnected. */
+  recordDisconnect(state: "sent" | "waiting"): void {
     const { log, metrics } = this.#context;
     metrics.failures.inc({ service: this.#resolved.service, reason: "left" });
     log.write({
       event: "left",
       request: this.#parsed.requestId,
       state,
-      time: this.#age(),
+      time: this.#elapsed(),
     });
   }
 
-  answered(
+  recordResponse(
     server: ServerRecord,
     status: number,
     progress: ResponseProgress,
@@ -163,7 +163,7 @@
     return this.#context.activeConfiguration()?.configuration.version ?? 0;
   }
 
-  #age(): number {
+  #elapsed(): number {
     return Math.round(this.#context.clock() - this.#parsed.arrivedAt);
   }
 }
--- a/packages/gateway/src/request/request_task.ts
+++ b/packages/gateway/src/request/request_task.ts
@@ -3,9 +3,9 @@
  *
  * A request has certainly not run until something was written to a server; until
  * then it may be refused as not run. After that, only an explicit statement of the
- * server (421 or the header for it) proves that it did not run. In all other cases
- * it may have run: it is retried only if its route allows repetition, and it is
- * never reported to the caller as not run.
+ * server (status 421, or the `notRun` header) proves that it did not run. In all
+ * other cases it may have run: it is retried only if its route allows repetition,
+ * and it is never reported to the caller as not run.
  * @module
  */
 import { incarnationOf, isRepeatable } from "@sycamorepulley/decisions";
@@ -100,9 +100,9 @@
 
   async #runAttempts(): Promise<void> {
     for (let grant = 1; grant <= MAX_GRANTS; grant++) {
-      if (this.#isOver()) return;
+      if (this.#finishIfOver()) return;
       const granted = await this.#requestGrant(grant);
-      if (this.#isOver()) {
+      if (this.#finishIfOver()) {
         // A grant that is never withdrawn would occupy its slot for ever.
         if (granted !== undefined) {
           this.#context.grantClient.withdraw(granted.id);
@@ -112,18 +112,18 @@
       if (granted === undefined) continue;
       await this.#sendToServer(granted.id, granted.server);
     }
-    if (this.#isOver()) return;
+    if (this.#finishIfOver()) return;
     this.#giveUp("not_run", DEFAULT_RETRY_AFTER);
   }
 
   /**
-   * True if the request has its response, its caller disconnected, or its time is
-   * up. If the time is up, the caller is sent an error.
+   * Returns true if the request has its response, its caller has disconnected, or its
+   * time is up. Records a disconnect, and sends an error when the time is up.
    */
-  #isOver(): boolean {
+  #finishIfOver(): boolean {
     if (this.#response.settled) return true;
     if (this.#caller.disconnected) {
-      this.#response.reportDisconnect(
+      this.#response.recordDisconnect(
         this.#serversSentTo > 0 ? "sent" : "waiting",
       );
       return true;
@@ -186,7 +186,7 @@
     }
     const waited = clock() - requestedAt;
     const { by } = grantResult;
-    this.#report.granted(record, { waited, by, attempt: grant });
+    this.#report.recordGrant(record, { waited, by, attempt: grant });
     return { id, server: record };
   }
 
@@ -199,7 +199,7 @@
       // Nothing reached the server, so this does not consume the retry budget.
       grantClient.recordEnd(grantId, connection.error);
       this.#excludedServers.push(incarnation);
-      this.#report.retried(server, connection.error, this.#serversSentTo);
+      this.#report.recordRetry(server, connection.error, this.#serversSentTo);
       return;
     }
     if (
@@ -339,7 +339,7 @@
     const { consumeRetry, clock } = this.#context;
     const { service } = this.#resolved;
     if (!consumeRetry(service, clock())) return false;
-    this.#report.retried(server, reason, this.#serversSentTo);
+    this.#report.recordRetry(server, reason, this.#serversSentTo);
     return true;
   }
 
