--- /dev/null
+++ b/packages/gateway/src/backend/backend_connection.ts
@@ -0,0 +1,228 @@
+/**
+ * A connection to a backend server, for one request at a time.
+ *
+ * The connection is opened before anything is sent on it: if connecting fails, the
+ * request has certainly not run; after a later failure it may have run. Unsolicited
+ * bytes from the server close the connection, as they would be taken for the next
+ * response.
+ * @module
+ */
+import { connect } from "node:net";
+import type { Socket } from "node:net";
+import { Result } from "true-myth/result";
+import { Client } from "undici";
+import type { Dispatcher } from "undici";
+
+/** Why no connection could be opened. */
+export type ConnectFailure = "connection_refused" | "connection_timeout";
+
+/** A request to a backend server. */
+export type BackendRequest = {
+  method: string;
+  target: string;
+  /** Alternating names and values. */
+  headers: string[];
+  body: Buffer | undefined;
+};
+
+/** Status and headers of a response; header names are in lower case. */
+export type ResponseHead = {
+  status: number;
+  headers: Record<string, string | string[] | undefined>;
+};
+
+/** Receives one response; nothing follows `onEnd` or `onError`. */
+export abstract class ResponseListener {
+  abstract onHead(head: ResponseHead): void;
+  abstract onData(chunk: Buffer): void;
+  /** The response is complete as far as its framing tells. */
+  abstract onEnd(): void;
+  abstract onError(detail: string): void;
+}
+
+/** Idle timeout of a server that does not state one, in milliseconds. */
+const DEFAULT_IDLE_TIMEOUT = 1000;
+/**
+ * Milliseconds subtracted from a stated idle timeout, as a request may cross the
+ * closing of its connection on the way.
+ */
+const IDLE_MARGIN = 1000;
+
+/** Wraps a connected socket in an HTTP client that never reconnects. */
+export class BackendConnection {
+  readonly #socket: Socket;
+  readonly #client: Client;
+  #closed = false;
+  #wasReset = false;
+  #idleSince: number;
+  #idleTimeout = DEFAULT_IDLE_TIMEOUT;
+
+  private constructor(socket: Socket, now: number) {
+    this.#socket = socket;
+    this.#idleSince = now;
+    socket.once("close", () => this.#closed = true);
+    // undici takes a reset for the end of a response without a length, which would
+    // then look complete although it is truncated. This listener is called first.
+    socket.on("error", () => {
+      this.#wasReset = true;
+      socket.destroy();
+    });
+    let socketUsed = false;
+    this.#client = new Client(`http://${socket.remoteAddress}`, {
+      pipelining: 1,
+      headersTimeout: 0,
+      bodyTimeout: 0,
+      keepAliveTimeout: 60_000,
+      maxHeaderSize: 64 * 1024,
+      connect: (_options, callback) => {
+        // The client reconnects on its own, but a request must not be sent on a new
+        // connection.
+        if (socketUsed || this.#closed) {
+          callback(new Error("the connection is closed"), null);
+          return;
+        }
+        socketUsed = true;
+        // The client expects the callback to be called asynchronously.
+        queueMicrotask(() => callback(null, socket));
+      },
+    });
+    this.#client.on("connectionError", () => this.close());
+  }
+
+  /** Connects within `timeout` milliseconds. */
+  static open(
+    options: { host: string; port: number; timeout: number; now: number },
+  ): Promise<Result<BackendConnection, ConnectFailure>> {
+    const { host, port, timeout, now } = options;
+    return new Promise((resolve) => {
+      const socket = connect({ host, port, noDelay: true });
+      const fail = (reason: ConnectFailure) => {
+        socket.destroy();
+        resolve(Result.err(reason));
+      };
+      const refused = () => fail("connection_refused");
+      socket.setTimeout(timeout, () => fail("connection_timeout"));
+      socket.once("error", refused);
+      socket.once("connect", () => {
+        socket.setTimeout(0);
+        socket.off("error", refused);
+        resolve(Result.ok(new BackendConnection(socket, now)));
+      });
+    });
+  }
+
+  /**
+   * False if the server may be closing the connection. `strict`: only a quarter of
+   * the idle timeout is used, for requests that must not be repeated.
+   */
+  isUsable(now: number, strict: boolean): boolean {
+    if (this.#closed || this.#socket.destroyed) return false;
+    const idle = now - this.#idleSince;
+    return idle < (strict ? this.#idleTimeout / 4 : this.#idleTimeout);
+  }
+
+  /** Sends a request. The returned function aborts it by closing the connection. */
+  send(request: BackendRequest, listener: ResponseListener): () => void {
+    const handler = new ResponseHandler(listener, {
+      onHeaders: (headers) => this.#readIdleTimeout(headers),
+      wasReset: () => this.#wasReset,
+    });
+    this.#client.dispatch({
+      method: request.method as Dispatcher.HttpMethod,
+      path: request.target,
+      headers: request.headers,
+      body: request.body ?? null,
+      idempotent: false,
+    }, handler);
+    return () => {
+      handler.detach();
+      this.close();
+    };
+  }
+
+  /** Marks the connection as idle since `now`, after a complete response. */
+  markIdle(now: number): void {
+    this.#idleSince = now;
+  }
+
+  close(): void {
+    this.#closed = true;
+    this.#client.destroy().catch(() => {});
+    this.#socket.destroy();
+  }
+
+  #readIdleTimeout(headers: ResponseHead["headers"]): void {
+    if (String(headers.connection ?? "").toLowerCase() === "close") {
+      this.#idleTimeout = 0;
+      return;
+    }
+    const statedSeconds = /timeout=(\d+)/.exec(
+      String(headers["keep-alive"] ?? ""),
+    )
+      ?.[1];
+    if (statedSeconds === undefined) return;
+    this.#idleTimeout = Math.max(0, Number(statedSeconds) * 1000 - IDLE_MARGIN);
+  }
+}
+
+/** What the handler of a response needs from its connection. */
+type ConnectionHooks = {
+  onHeaders: (headers: ResponseHead["headers"]) => void;
+  /** True if the connection was reset; checked at the end of the response. */
+  wasReset: () => boolean;
+};
+
+class ResponseHandler implements Dispatcher.DispatchHandler {
+  readonly #listener: ResponseListener;
+  readonly #hooks: ConnectionHooks;
+  #finished = false;
+
+  constructor(
+    listener: ResponseListener,
+    hooks: ConnectionHooks,
+  ) {
+    this.#listener = listener;
+    this.#hooks = hooks;
+  }
+
+  /** Passes nothing on to the listener from now on. */
+  detach(): void {
+    this.#finished = true;
+  }
+
+  onRequestStart(): void {}
+
+  onResponseStart(
+    _controller: Dispatcher.DispatchController,
+    status: number,
+    headers: ResponseHead["headers"],
+  ): void {
+    if (this.#finished || status < 200) return;
+    this.#hooks.onHeaders(headers);
+    this.#listener.onHead({ status, headers });
+  }
+
+  onResponseData(
+    _controller: Dispatcher.DispatchController,
+    chunk: Buffer,
+  ): void {
+    if (!this.#finished) this.#listener.onData(chunk);
+  }
+
+  onResponseEnd(): void {
+    if (this.#finished) return;
+    this.#finished = true;
+    if (this.#hooks.wasReset()) {
+      this.#listener.onError("cut");
+    } else this.#listener.onEnd();
+  }
+
+  onResponseError(
+    _controller: Dispatcher.DispatchController,
+    error: Error,
+  ): void {
+    if (this.#finished) return;
+    this.#finished = true;
+    this.#listener.onError(error.message);
+  }
+}
--- a/packages/gateway/src/front/parsed_request.ts
+++ b/packages/gateway/src/front/parsed_request.ts
@@ -1,84 +1,98 @@
-/** One caller's request as received. @module */
+/** Parses the request of a caller. @module */
 import type { IncomingMessage } from "node:http";
 import type { Cost } from "@sycamorepulley/decisions";
 import { forwardedHeaders } from "./forwarded_headers.ts";
 import type { HeaderNames } from "./header_names.ts";
 
-/** See the fields. Times are milliseconds. */
-export type Call = {
-  /** The caller's name for this try. */
-  request: string;
+/** A caller's request as received. Times are in milliseconds. */
+export type ParsedRequest = {
+  /** Identifies this attempt of the caller; its own retries have other ids. */
+  requestId: string;
   method: string;
   target: string;
   host: string;
   credential: string | undefined;
-  /** What it states of its size. */
-  tokens: Cost | undefined;
-  /** Tokens that it expects its answer to have. */
-  expectedTokens: number | undefined;
-  /** How long the caller waits from its sending. */
-  timeLeft: number | undefined;
-  /** Headers to hand on, names and values in turn. */
-  headers: string[];
-  arrived: number;
+  /** Prompt tokens and largest number of output tokens, as the caller states. */
+  statedTokens: Cost | undefined;
+  /** The caller's estimate of the output tokens. */
+  expectedOutputTokens: number | undefined;
+  /** How long the caller waits from the time of sending. */
+  remainingTime: number | undefined;
+  /** Headers to forward to the server: alternating names and values. */
+  forwardedHeaders: string[];
+  arrivedAt: number;
 };
 
-/** Reads callers' requests by one platform's names. */
+/** Parses callers' requests with the header names of one platform. */
 export class RequestParser {
-  readonly #names: HeaderNames;
-  readonly #dropped: ReadonlySet<string>;
-  readonly #kept: ReadonlySet<string>;
+  readonly #headerNames: HeaderNames;
+  readonly #droppedHeaders: ReadonlySet<string>;
+  readonly #protectedHeaders: ReadonlySet<string>;
 
-  constructor(names: HeaderNames) {
-    this.#names = names;
-    this.#dropped = new Set(
+  constructor(headerNames: HeaderNames) {
+    this.#headerNames = headerNames;
+    this.#droppedHeaders = new Set(
       [
-        ...names.reserved,
-        names.credential,
-        names.organisation,
-        names.expectedServer,
-        names.remainingTime,
+        ...headerNames.reserved,
+        headerNames.credential,
+        headerNames.organisation,
+        headerNames.expectedServer,
+        headerNames.remainingTime,
       ].map((name) => name.toLowerCase()),
     );
-    this.#kept = new Set(
-      [names.requestId, names.tokenUsage, names.lastEventId, "host"]
+    this.#protectedHeaders = new Set(
+      [
+        headerNames.requestId,
+        headerNames.tokenUsage,
+        headerNames.lastEventId,
+        "host",
+      ]
         .map((name) => name.toLowerCase()),
     );
   }
 
-  parse(message: IncomingMessage, now: number): Call {
-    const names = this.#names;
+  parse(message: IncomingMessage, now: number): ParsedRequest {
+    const headerNames = this.#headerNames;
     return {
-      request: valueOf(message, names.requestId) ?? "",
+      requestId: headerValue(message, headerNames.requestId) ?? "",
       method: message.method ?? "GET",
       target: message.url ?? "/",
       host: message.headers.host ?? "",
-      credential: valueOf(message, names.credential),
-      tokens: tokensOf(valueOf(message, names.tokenUsage)),
-      expectedTokens: positive(valueOf(message, names.expectedOutputTokens)),
-      timeLeft: positive(valueOf(message, names.remainingTime)),
-      headers: forwardedHeaders(
+      credential: headerValue(message, headerNames.credential),
+      statedTokens: parseTokenUsage(
+        headerValue(message, headerNames.tokenUsage),
+      ),
+      expectedOutputTokens: parsePositive(
+        headerValue(message, headerNames.expectedOutputTokens),
+      ),
+      remainingTime: parsePositive(
+        headerValue(message, headerNames.remainingTime),
+      ),
+      forwardedHeaders: forwardedHeaders(
         message.rawHeaders,
-        this.#dropped,
-        this.#kept,
+        this.#droppedHeaders,
+        this.#protectedHeaders,
       ),
-      arrived: now,
+      arrivedAt: now,
     };
   }
 }
 
-function valueOf(message: IncomingMessage, name: string): string | undefined {
+function headerValue(
+  message: IncomingMessage,
+  name: string,
+): string | undefined {
   const value = message.headers[name.toLowerCase()];
   return Array.isArray(value) ? value[0] : value;
 }
 
-function positive(value: string | undefined): number | undefined {
+function parsePositive(value: string | undefined): number | undefined {
   if (value === undefined) return undefined;
   const number = Number(value);
   return Number.isFinite(number) && number > 0 ? number : undefined;
 }
 
-function tokensOf(value: string | undefined): Cost | undefined {
+function parseTokenUsage(value: string | undefined): Cost | undefined {
   const parts = value?.split(",").map(Number) ?? [];
   const [promptTokens, outputTokens] = parts;
   if (promptTokens === undefined || outputTokens === undefined) {
--- a/packages/gateway/src/observe/metrics.ts
+++ b/packages/gateway/src/observe/metrics.ts
@@ -1,10 +1,10 @@
 /** Counters and histograms of one gateway, by `prom-client`. @module */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** Seconds; dense around the goals of 0.15 to 0.6 s. */
+/** Bounds of the buckets in seconds; dense around the goals of 0.15 to 0.6 s. */
 const BUCKETS = [0.002, 0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 5, 15];
 
-/** Every metric that the gateway states; names are part of its interface. */
+/** All metrics of the gateway; their names are part of its interface. */
 export class GatewayMetrics {
   readonly registry = new Registry();
 
@@ -12,7 +12,7 @@
     "service",
     "route",
   ]);
-  readonly answers = this.#counter("answers_total", "Whole answers sent on", [
+  readonly responses = this.#counter("answers_total", "Whole answers sent on", [
     "service",
     "status",
   ]);
@@ -34,12 +34,20 @@
     "Dependencies lost and regained",
     ["dependency", "change"],
   );
-  readonly waiting = this.#gauge("waiting", "Requests waiting for a grant", [
-    "service",
-  ]);
-  readonly running = this.#gauge("running", "Requests at backend servers", [
-    "service",
-  ]);
+  readonly waitingRequests = this.#gauge(
+    "waiting",
+    "Requests waiting for a grant",
+    [
+      "service",
+    ],
+  );
+  readonly runningRequests = this.#gauge(
+    "running",
+    "Requests at backend servers",
+    [
+      "service",
+    ],
+  );
   readonly serverLimit = this.#gauge(
     "server_limit_per_second",
     "Requests a second that a backend server states",
@@ -55,12 +63,12 @@
     "Version of the configuration in force",
     [],
   );
-  readonly waited = this.#histogram("waited_seconds", "Time until a grant");
-  readonly firstByte = this.#histogram(
+  readonly grantWait = this.#histogram("waited_seconds", "Time until a grant");
+  readonly timeToFirstByte = this.#histogram(
     "first_byte_seconds",
     "Time until the answer's first byte",
   );
-  readonly whole = this.#histogram(
+  readonly timeToLastByte = this.#histogram(
     "whole_seconds",
     "Time until the answer's end",
   );
--- /dev/null
+++ b/packages/gateway/src/request/caller_connection.ts
@@ -0,0 +1,137 @@
+/** The caller's side of one request: its body, disconnect and response. @module */
+import type { IncomingMessage, ServerResponse } from "node:http";
+import { Result } from "true-myth/result";
+import type { ResponseHead } from "../backend/backend_connection.ts";
+import { responseHeaders } from "../front/forwarded_headers.ts";
+import { sendErrorResponse } from "./error_response.ts";
+import type { ErrorReason } from "./error_response.ts";
+
+/** Reads the body, sends at most one response, and notices a disconnect. */
+export class CallerConnection {
+  readonly #request: IncomingMessage;
+  readonly #response: ServerResponse;
+  #onDisconnect = () => {};
+  #disconnected = false;
+  #closeDelimited = false;
+
+  constructor(request: IncomingMessage, response: ServerResponse) {
+    this.#request = request;
+    this.#response = response;
+    const disconnect = () => this.#handleDisconnect();
+    // The socket reports a disconnect at once; the request emits its own events
+    // only while its body is being read.
+    request.socket.once("end", disconnect);
+    request.socket.once("close", disconnect);
+    response.once("close", () => {
+      request.socket.off("end", disconnect);
+      request.socket.off("close", disconnect);
+      if (!response.writableFinished) this.#handleDisconnect();
+    });
+  }
+
+  /** Calls `action` once when the caller disconnects. */
+  onDisconnect(action: () => void): void {
+    this.#onDisconnect = action;
+  }
+
+  get disconnected(): boolean {
+    return this.#disconnected;
+  }
+
+  /** True once a part of a server's response was passed on. */
+  get responseStarted(): boolean {
+    return this.#response.headersSent;
+  }
+
+  /**
+   * Reads the whole body; `undefined` if it is empty. Fails if it is larger than
+   * `maxBytes` or ends early.
+   */
+  readBody(
+    maxBytes: number,
+  ): Promise<Result<Buffer | undefined, "too_large" | "cut">> {
+    return new Promise((resolve) => {
+      const chunks: Buffer[] = [];
+      let size = 0;
+      this.#request.on("data", (chunk: Buffer) => {
+        size += chunk.length;
+        if (size <= maxBytes) chunks.push(chunk);
+        else resolve(Result.err("too_large"));
+      });
+      this.#request.once("end", () => {
+        const body = chunks.length === 1 ? chunks[0] : Buffer.concat(chunks);
+        resolve(Result.ok(size === 0 ? undefined : body));
+      });
+      this.#request.once("close", () => resolve(Result.err("cut")));
+      this.#request.once("error", () => resolve(Result.err("cut")));
+    });
+  }
+
+  sendError(status: number, reason: ErrorReason, retryAfter?: number): void {
+    if (this.#disconnected || this.responseStarted) return;
+    sendErrorResponse(this.#response, status, reason, retryAfter);
+  }
+
+  /** Sends a complete response of a server. */
+  sendResponse(head: ResponseHead, body: Buffer): void {
+    if (this.#disconnected) return;
+    const headers = responseHeaders(head.headers);
+    if (isCloseDelimited(head)) {
+      this.#useCloseDelimiting();
+    } else if (this.#request.method !== "HEAD" && head.status !== 304) {
+      headers["content-length"] = String(body.length);
+    }
+    this.#response.writeHead(head.status, headers);
+    this.#response.end(body);
+  }
+
+  startStream(head: ResponseHead): void {
+    if (this.#disconnected || this.responseStarted) return;
+    if (isCloseDelimited(head)) this.#useCloseDelimiting();
+    this.#response.writeHead(head.status, responseHeaders(head.headers));
+  }
+
+  sendEvents(events: Buffer): void {
+    if (!this.#disconnected) this.#response.write(events);
+  }
+
+  /**
+   * Ends a stream. The end of a close-delimited response (one that ends with its
+   * connection) can't be told from a crash of its server. A caller whose own
+   * response is chunked would take the end for a complete stream, so its
+   * connection is aborted instead.
+   */
+  endStream(closeDelimited: boolean): void {
+    if (this.#disconnected) return;
+    if (closeDelimited && !this.#closeDelimited) this.abortResponse();
+    else this.#response.end();
+  }
+
+  /** Closes the connection, so that the response can't be taken for complete. */
+  abortResponse(): void {
+    this.#response.destroy();
+  }
+
+  /**
+   * Makes the response end with its connection, as the server's does. A server that
+   * crashes closes its connections too; with a content length, a truncated body
+   * would look complete to the caller.
+   */
+  #useCloseDelimiting(): void {
+    this.#closeDelimited = true;
+    this.#response.useChunkedEncodingByDefault = false;
+    this.#response.shouldKeepAlive = false;
+  }
+
+  #handleDisconnect(): void {
+    if (this.#disconnected || this.#response.writableFinished) return;
+    this.#disconnected = true;
+    this.#onDisconnect();
+  }
+}
+
+/** True if only the end of the connection marks the end of the response. */
+export function isCloseDelimited(head: ResponseHead): boolean {
+  return head.headers["content-length"] === undefined &&
+    head.headers["transfer-encoding"] === undefined;
+}
--- a/packages/gateway/src/request/reply.ts
+++ b/packages/gateway/src/request/error_response.ts
@@ -1,8 +1,8 @@
-/** The gateway's own answers to callers. @module */
+/** Error responses that the gateway itself sends to callers. @module */
 import type { ServerResponse } from "node:http";
 
-/** Why the gateway answers itself; the body states it. */
-export type ReplyReason =
+/** Why the gateway sends an error; stated in the body. */
+export type ErrorReason =
   | "no_configuration"
   | "no_route"
   | "bad_credential"
@@ -17,8 +17,8 @@
   | "time_up"
   | "broken";
 
-/** Status of each reason while the request has certainly not run. */
-const STATUS_NOT_RUN: Record<ReplyReason, number> = {
+/** HTTP status of each reason for a request that has certainly not run. */
+const STATUS_NOT_RUN: Record<ErrorReason, number> = {
   no_configuration: 503,
   no_route: 404,
   bad_credential: 401,
@@ -34,17 +34,17 @@
   broken: 503,
 };
 
-/** The status that promises no more than is known. */
-export function statusOf(reason: ReplyReason, mayHaveRun: boolean): number {
+/** HTTP status of an error; 502 or 504 if the request may have run. */
+export function errorStatus(reason: ErrorReason, mayHaveRun: boolean): number {
   if (!mayHaveRun) return STATUS_NOT_RUN[reason];
   return reason === "time_up" ? 504 : 502;
 }
 
-/** Sends an answer of the gateway's own; `retryAfter` in milliseconds. */
-export function reply(
+/** Sends an error response; `retryAfter` in milliseconds. */
+export function sendErrorResponse(
   response: ServerResponse,
   status: number,
-  reason: ReplyReason,
+  reason: ErrorReason,
   retryAfter?: number,
 ): void {
   const body = JSON.stringify({ reason }) + "\n";
--- a/packages/gateway/src/request/event_buffer.ts
+++ b/packages/gateway/src/request/event_buffer.ts
@@ -1,51 +1,53 @@
 /**
- * Whole events of a stream. A server may stop in the middle of an event; a part
- * of one must not reach the caller, or the next server's events would be joined
- * to it.
+ * Splits a stream of server-sent events into complete events. A server may fail in
+ * the middle of an event. A partial event must not reach the caller, because the
+ * next server's events would be appended to it.
  * @module
  */
 
+/** Byte value of a line feed. */
 const NEWLINE = 10;
+/** Start of the line that states the id of an event. */
 const ID_FIELD = Buffer.from("id:");
 
-/** Cuts a stream of bytes at the ends of events. */
+/** Holds back the bytes of an event until it is complete. */
 export class EventBuffer {
-  #rest: Buffer = Buffer.alloc(0);
-  #lastId: string | undefined;
+  #partialEvent: Buffer = Buffer.alloc(0);
+  #lastEventId: string | undefined;
 
-  /** Id of the last whole event that had one. */
-  get lastId(): string | undefined {
-    return this.#lastId;
+  /** Id of the last complete event that had one. */
+  get lastEventId(): string | undefined {
+    return this.#lastEventId;
   }
 
-  /** True while a part of an event is held back. */
-  get partial(): boolean {
-    return this.#rest.length > 0;
+  /** True while the start of an incomplete event is held back. */
+  get hasPartialEvent(): boolean {
+    return this.#partialEvent.length > 0;
   }
 
-  /** The whole events that `chunk` completes, as received. */
+  /** Returns the bytes up to the end of the last event that `chunk` completes. */
   push(chunk: Buffer): Buffer | undefined {
-    const bytes = this.#rest.length === 0
+    const bytes = this.#partialEvent.length === 0
       ? chunk
-      : Buffer.concat([this.#rest, chunk]);
-    const end = endOfEvents(bytes);
+      : Buffer.concat([this.#partialEvent, chunk]);
+    const end = endOfLastEvent(bytes);
     if (end === 0) {
-      this.#rest = bytes;
+      this.#partialEvent = bytes;
       return undefined;
     }
-    this.#rest = bytes.subarray(end);
-    const whole = bytes.subarray(0, end);
-    this.#lastId = lastIdOf(whole) ?? this.#lastId;
-    return whole;
+    this.#partialEvent = bytes.subarray(end);
+    const completeEvents = bytes.subarray(0, end);
+    this.#lastEventId = findLastEventId(completeEvents) ?? this.#lastEventId;
+    return completeEvents;
   }
 
-  /** Drops the part of an event that will not be completed. */
+  /** Discards a partial event that will not be completed. */
   drop(): void {
-    this.#rest = Buffer.alloc(0);
+    this.#partialEvent = Buffer.alloc(0);
   }
 }
 
-function endOfEvents(bytes: Buffer): number {
+function endOfLastEvent(bytes: Buffer): number {
   for (let index = bytes.length - 1; index > 0; index--) {
     if (bytes[index] !== NEWLINE) continue;
     const before = bytes[index - 1] === 13 ? index - 2 : index - 1;
@@ -54,12 +56,13 @@
   return 0;
 }
 
-function lastIdOf(bytes: Buffer): string | undefined {
-  let at = bytes.lastIndexOf(ID_FIELD);
-  while (at > 0 && bytes[at - 1] !== NEWLINE) {
-    at = bytes.lastIndexOf(ID_FIELD, at - 1);
+function findLastEventId(bytes: Buffer): string | undefined {
+  let fieldStart = bytes.lastIndexOf(ID_FIELD);
+  while (fieldStart > 0 && bytes[fieldStart - 1] !== NEWLINE) {
+    fieldStart = bytes.lastIndexOf(ID_FIELD, fieldStart - 1);
   }
-  if (at < 0) return undefined;
-  const end = bytes.indexOf(NEWLINE, at);
-  return bytes.subarray(at + ID_FIELD.length, end).toString("latin1").trim();
+  if (fieldStart < 0) return undefined;
+  const end = bytes.indexOf(NEWLINE, fieldStart);
+  return bytes.subarray(fieldStart + ID_FIELD.length, end).toString("latin1")
+    .trim();
 }
--- a/packages/gateway/src/request/exchange.ts
+++ b/packages/gateway/src/request/exchange.ts
@@ -1,209 +1,223 @@
 /**
- * One request at one backend server, from its sending to the end of the answer.
+ * One HTTP exchange with a backend server: a request and its response.
  *
- * What is not the server's whole answer to this request must not reach the
- * caller: answers to other requests, answers without the server's seal, bodies
- * cut short. A plain answer is therefore held until it is whole; a stream is
- * passed on in whole events.
+ * Only a complete response of the server to this very request may reach the
+ * caller. Responses to other requests, responses without the server's seal, and
+ * truncated bodies must not. A plain response is therefore buffered until it is
+ * complete, and a stream is passed on in complete events.
  * @module
  */
-import { AnswerListener } from "../backend/channel.ts";
+import { ResponseListener } from "../backend/backend_connection.ts";
 import type {
-  AnswerHead,
+  BackendConnection,
   BackendRequest,
-  Channel,
-} from "../backend/channel.ts";
+  ResponseHead,
+} from "../backend/backend_connection.ts";
 import type { HeaderNames } from "../front/header_names.ts";
-import { isUnframed } from "./caller.ts";
+import { isCloseDelimited } from "./caller_connection.ts";
 import { EventBuffer } from "./event_buffer.ts";
 
-/** Largest plain answer that is held until it is whole, in bytes. */
-const LARGEST_HELD = 1024 * 1024;
+/** Largest plain response that is buffered, in bytes; a larger one fails. */
+const MAX_BUFFERED_BODY_BYTES = 1024 * 1024;
 
-/** Another server has the address; it did not run the request. */
+/** HTTP status of a server that is not the intended one; it ran nothing. */
 const MISDIRECTED = 421;
 
 /** How an exchange ended. */
-export type ExchangeEnd =
-  /** A whole plain answer, not yet passed on. */
-  | { kind: "plain"; head: AnswerHead; body: Buffer }
-  /** A whole stream, passed on. */
-  | { kind: "stream"; unframed: boolean }
+export type ExchangeResult =
+  /** A complete plain response, not yet passed on. */
+  | { kind: "plain"; head: ResponseHead; body: Buffer }
+  /** A complete stream, already passed on. */
+  | { kind: "stream"; closeDelimited: boolean }
   /**
-   * The server's own word that it did not run the request; `misdirected`: it is
-   * another one than the request was meant for.
+   * The server stated that it did not run the request. `misdirected`: the request
+   * was meant for another server.
    */
   | { kind: "not_run"; misdirected: boolean }
-  /** No whole answer; the request may have run. */
+  /** No complete response; the request may have run. */
   | { kind: "broken"; detail: string }
-  /** Given up by this side. */
+  /** Cancelled by the gateway. */
   | { kind: "aborted" };
 
-/** Takes the parts of a stream as they come. */
+/** Receives the parts of a streamed response as they arrive. */
 export type StreamSink = {
-  begin: (head: AnswerHead) => void;
-  /** Whole events. */
-  events: (events: Buffer, lastId: string | undefined) => void;
+  onStart: (head: ResponseHead) => void;
+  /** Complete events only, with the id of the latest event that has one. */
+  onEvents: (events: Buffer, lastEventId: string | undefined) => void;
 };
 
 /** Runs one exchange; {@link Exchange.abort} closes the connection. */
-export class Exchange extends AnswerListener {
-  readonly done: Promise<ExchangeEnd>;
-  readonly #names: HeaderNames;
-  readonly #request: string;
+export class Exchange extends ResponseListener {
+  readonly done: Promise<ExchangeResult>;
+  readonly #headerNames: HeaderNames;
+  readonly #requestId: string;
   readonly #sink: StreamSink;
-  readonly #channel: Channel;
-  readonly #answered: (head: AnswerHead) => void;
-  readonly #first: () => void;
-  #finish!: (end: ExchangeEnd) => void;
-  #stop: (() => void) | undefined;
-  #head: AnswerHead | undefined;
+  readonly #connection: BackendConnection;
+  readonly #onHead: (head: ResponseHead) => void;
+  readonly #onFirstPart: () => void;
+  #resolveDone!: (result: ExchangeResult) => void;
+  #abortSending: (() => void) | undefined;
+  #head: ResponseHead | undefined;
   #streaming = false;
-  #events = new EventBuffer();
+  #eventBuffer = new EventBuffer();
   #body: Buffer[] = [];
-  #size = 0;
-  #over = false;
-  heard = false;
+  #bodySize = 0;
+  #finished = false;
+  firstPartReceived = false;
 
   constructor(
     options: {
-      names: HeaderNames;
-      request: string;
-      channel: Channel;
+      headerNames: HeaderNames;
+      requestId: string;
+      connection: BackendConnection;
       sink: StreamSink;
-      /** Takes the head of each answer that is the server's own. */
-      answered: (head: AnswerHead) => void;
-      /** Called at the first byte that an answer is judged by. */
-      first: () => void;
+      /** Called with the head of a response that the server itself sent. */
+      onHead: (head: ResponseHead) => void;
+      /** Called at the first event of a stream, or the end of a plain response. */
+      onFirstPart: () => void;
     },
   ) {
     super();
-    this.#names = options.names;
-    this.#request = options.request;
-    this.#channel = options.channel;
+    this.#headerNames = options.headerNames;
+    this.#requestId = options.requestId;
+    this.#connection = options.connection;
     this.#sink = options.sink;
-    this.#answered = options.answered;
-    this.#first = options.first;
-    this.done = new Promise((resolve) => this.#finish = resolve);
+    this.#onHead = options.onHead;
+    this.#onFirstPart = options.onFirstPart;
+    this.done = new Promise((resolve) => this.#resolveDone = resolve);
   }
 
   start(request: BackendRequest): void {
-    this.#stop = this.#channel.send(request, this);
+    this.#abortSending = this.#connection.send(request, this);
   }
 
   abort(): void {
-    if (this.#over) return;
-    this.#stop?.();
-    this.#end({ kind: "aborted" });
+    if (this.#finished) return;
+    this.#abortSending?.();
+    this.#finish({ kind: "aborted" });
   }
 
-  /** Takes what comes, or doesn't, for a broken answer. */
-  giveUp(detail: string): void {
-    if (!this.#over) this.#break(detail);
+  /** Ends the exchange as broken, whatever the server sends later. */
+  fail(detail: string): void {
+    if (!this.#finished) this.#failWith(detail);
   }
 
-  override head(head: AnswerHead): void {
-    const problem = this.#problemOf(head);
+  override onHead(head: ResponseHead): void {
+    const problem = this.#headProblem(head);
     if (problem !== undefined) {
-      this.#break(problem);
+      this.#failWith(problem);
       return;
     }
     this.#head = head;
-    if (head.status !== MISDIRECTED) this.#answered(head);
+    if (head.status !== MISDIRECTED) this.#onHead(head);
     const type = String(head.headers["content-type"] ?? "");
     this.#streaming = head.status >= 200 && head.status < 300 &&
       type.startsWith("text/event-stream");
   }
 
-  override data(chunk: Buffer): void {
-    if (this.#over || this.#head === undefined) return;
+  override onData(chunk: Buffer): void {
+    if (this.#finished || this.#head === undefined) return;
     if (!this.#streaming) {
-      this.#hold(chunk);
+      this.#bufferBody(chunk);
       return;
     }
-    const whole = this.#events.push(chunk);
-    if (whole === undefined) return;
-    this.#begin();
-    this.#sink.events(whole, this.#events.lastId);
+    const completeEvents = this.#eventBuffer.push(chunk);
+    if (completeEvents === undefined) return;
+    this.#startStream();
+    this.#sink.onEvents(completeEvents, this.#eventBuffer.lastEventId);
   }
 
-  override ended(): void {
-    if (this.#over || this.#head === undefined) return;
+  override onEnd(): void {
+    if (this.#finished || this.#head === undefined) return;
     if (this.#streaming) {
       this.#endStream();
       return;
     }
-    this.#hear();
+    this.#markFirstPart();
     const { status, headers } = this.#head;
-    const unrun = headers[this.#names.notRun.toLowerCase()] !== undefined;
-    if (unrun || status === MISDIRECTED) {
-      this.#end({ kind: "not_run", misdirected: status === MISDIRECTED });
+    const notRun =
+      headers[this.#headerNames.notRun.toLowerCase()] !== undefined;
+    if (notRun || status === MISDIRECTED) {
+      this.#finish({ kind: "not_run", misdirected: status === MISDIRECTED });
       return;
     }
     const body = Buffer.concat(this.#body);
-    this.#end({ kind: "plain", head: this.#head, body });
+    this.#finish({ kind: "plain", head: this.#head, body });
   }
 
-  override failed(detail: string): void {
-    if (!this.#over) this.#break(detail);
+  override onError(detail: string): void {
+    if (!this.#finished) this.#failWith(detail);
   }
 
   #endStream(): void {
-    if (this.#events.partial) {
-      this.#break("the stream ended within an event");
+    if (this.#eventBuffer.hasPartialEvent) {
+      this.#failWith("stream ended in the middle of an event");
       return;
     }
-    this.#begin();
-    this.#end({ kind: "stream", unframed: isUnframed(this.#head!) });
+    this.#startStream();
+    this.#finish({
+      kind: "stream",
+      closeDelimited: isCloseDelimited(this.#head!),
+    });
   }
 
-  #begin(): void {
-    if (this.heard) return;
-    this.#hear();
-    this.#sink.begin(this.#head!);
+  #startStream(): void {
+    if (this.firstPartReceived) return;
+    this.#markFirstPart();
+    this.#sink.onStart(this.#head!);
   }
 
-  #hear(): void {
-    if (this.heard) return;
-    this.heard = true;
-    this.#first();
+  #markFirstPart(): void {
+    if (this.firstPartReceived) return;
+    this.firstPartReceived = true;
+    this.#onFirstPart();
   }
 
-  #hold(chunk: Buffer): void {
-    this.#size += chunk.length;
-    if (this.#size > LARGEST_HELD) {
-      this.#break(`an answer of over ${LARGEST_HELD} bytes`);
+  #bufferBody(chunk: Buffer): void {
+    this.#bodySize += chunk.length;
+    if (this.#bodySize > MAX_BUFFERED_BODY_BYTES) {
+      this.#failWith(
+        `response body larger than ${MAX_BUFFERED_BODY_BYTES} bytes`,
+      );
       return;
     }
     this.#body.push(chunk);
   }
 
-  /** Why the answer can't be this request's, or not a server's own. */
-  #problemOf(head: AnswerHead): string | undefined {
+  /** Why the response is not one of the server to this request, if it isn't. */
+  #headProblem(head: ResponseHead): string | undefined {
     const { headers, status } = head;
-    const echoed = headers[this.#names.requestId.toLowerCase()];
-    const unrun = headers[this.#names.notRun.toLowerCase()] !== undefined ||
+    const echoed = headers[this.#headerNames.requestId.toLowerCase()];
+    const notRun =
+      headers[this.#headerNames.notRun.toLowerCase()] !== undefined ||
       status === MISDIRECTED;
-    if (echoed !== undefined && echoed !== this.#request) {
-      return "an answer to another request";
+    if (echoed !== undefined && echoed !== this.#requestId) {
+      return "response to another request";
     }
-    if (unrun) return undefined;
-    if (echoed === undefined && status < 300) return "an answer without a name";
-    if (headers[this.#names.seal.toLowerCase()] === undefined && status < 300) {
-      return "an answer without a seal";
+    if (notRun) return undefined;
+    if (echoed === undefined && status < 300) {
+      return "response without a request id";
+    }
+    if (
+      headers[this.#headerNames.seal.toLowerCase()] === undefined &&
+      status < 300
+    ) {
+      return "response without a seal";
+    }
+    if (headers["content-encoding"] !== undefined) {
+      return "response with a content encoding";
     }
-    if (headers["content-encoding"] !== undefined) return "an encoded answer";
     return undefined;
   }
 
-  #break(detail: string): void {
-    this.#stop?.();
-    this.#end({ kind: "broken", detail });
+  #failWith(detail: string): void {
+    this.#abortSending?.();
+    this.#finish({ kind: "broken", detail });
   }
 
-  #end(end: ExchangeEnd): void {
-    if (this.#over) return;
-    this.#over = true;
-    this.#finish(end);
+  #finish(result: ExchangeResult): void {
+    if (this.#finished) return;
+    this.#finished = true;
+    this.#resolveDone(result);
   }
 }
--- a/packages/gateway/src/request/request_report.ts
+++ b/packages/gateway/src/request/request_report.ts
@@ -1,38 +1,42 @@
-/** What is logged and counted of one request. @module */
+/** Log events and metrics of one request. @module */
 import { incarnationOf } from "@sycamorepulley/decisions";
 import type { RefusalInputs, ServerRecord } from "@sycamorepulley/decisions";
-import type { Call } from "../front/parsed_request.ts";
-import type { AnswerProgress } from "./answer_progress.ts";
-import type { ReplyReason } from "./reply.ts";
+import type { ParsedRequest } from "../front/parsed_request.ts";
+import type { ResponseProgress } from "./response_progress.ts";
+import type { ErrorReason } from "./error_response.ts";
 import type { RequestContext } from "./request_context.ts";
 import type { ResolvedRequest } from "./resolve_request.ts";
 
-/** One method for each decision on the request. */
+/** Logs and counts each decision on a request. */
 export class RequestReport {
   readonly #context: RequestContext;
-  readonly #call: Call;
+  readonly #parsed: ParsedRequest;
   readonly #resolved: ResolvedRequest;
 
-  constructor(context: RequestContext, call: Call, resolved: ResolvedRequest) {
+  constructor(
+    context: RequestContext,
+    parsed: ParsedRequest,
+    resolved: ResolvedRequest,
+  ) {
     this.#context = context;
-    this.#call = call;
+    this.#parsed = parsed;
     this.#resolved = resolved;
   }
 
-  /** `waited` in milliseconds; `attempt` counts grants. */
-  granted(
+  /** `waited`: milliseconds until the grant; `attempt`: number of the grant. */
+  recordGrant(
     server: ServerRecord,
     grant: { waited: number; by: string; attempt: number },
   ): void {
-    const { metrics, log, grantClient: granter, clock } = this.#context;
+    const { metrics, log, grantClient, clock } = this.#context;
     const { service, route, organisation, charge } = this.#resolved;
     const waited = Math.round(grant.waited);
-    const limit = granter.limits.known.find(incarnationOf(server));
+    const limit = grantClient.limits.known.find(incarnationOf(server));
     const labels = { service, route: route.name };
-    metrics.waited.observe(labels, waited / 1000);
+    metrics.grantWait.observe(labels, waited / 1000);
     log.write({
       event: "granted",
-      request: this.#call.request,
+      request: this.#parsed.requestId,
       server: server.id,
       waited,
       by: grant.by,
@@ -48,42 +52,42 @@
     });
   }
 
-  /** `sent`: servers that may have run it. */
-  retried(server: ServerRecord, reason: string, sent: number): void {
+  /** `sent`: number of servers that may have run the request. */
+  recordRetry(server: ServerRecord, reason: string, sent: number): void {
     const { metrics, log } = this.#context;
     metrics.retries.inc({ service: this.#resolved.service, reason });
     log.write({
       event: "retried",
-      request: this.#call.request,
+      request: this.#parsed.requestId,
       server: server.id,
       reason,
       sent,
     });
   }
 
-  refused(
-    reason: ReplyReason,
-    answer: {
+  recordRefusal(
+    reason: ErrorReason,
+    response: {
       status: number;
       retryAfter: number;
       mayHaveRun: boolean;
-      /** Where an entry that grants refused it. */
-      decided?: { by: string; seen: RefusalInputs };
+      /** Set if a granting entry refused the request. */
+      decision?: { by: string; seen: RefusalInputs };
     },
   ): void {
     const { metrics, log } = this.#context;
     const { service, organisation, tierRank, routeRank } = this.#resolved;
     const { cost, charge } = this.#resolved;
-    const { decided } = answer;
-    if (answer.mayHaveRun) metrics.failures.inc({ service, reason });
+    const { decision } = response;
+    if (response.mayHaveRun) metrics.failures.inc({ service, reason });
     else metrics.refusals.inc({ service, reason });
     log.write({
       event: "refused",
-      request: this.#call.request,
-      status: answer.status,
+      request: this.#parsed.requestId,
+      status: response.status,
       reason,
-      waited: this.#age(),
-      retryAfter: Math.round(answer.retryAfter),
+      waited: this.#elapsed(),
+      retryAfter: Math.round(response.retryAfter),
       version: this.#version,
       organisation,
       tierRank,
@@ -91,63 +95,66 @@
       promptTokens: cost.promptTokens,
       outputTokens: cost.outputTokens,
       charge,
-      ...(decided && {
-        by: decided.by,
-        free: decided.seen.free,
-        waiting: decided.seen.waiting,
-        quotaWait: Math.round(decided.seen.quotaWait),
-        standing: decided.seen.standing ?? "unqueued",
+      ...(decision && {
+        by: decision.by,
+        free: decision.seen.free,
+        waiting: decision.seen.waiting,
+        quotaWait: Math.round(decision.seen.quotaWait),
+        standing: decision.seen.standing ?? "unqueued",
       }),
     });
   }
 
-  cut(server: ServerRecord | undefined, reason: string): void {
+  /** Records that a response was aborted after it had started. */
+  recordAbort(server: ServerRecord | undefined, reason: string): void {
     const { metrics, log } = this.#context;
     metrics.failures.inc({ service: this.#resolved.service, reason: "cut" });
     log.write({
       event: "cut",
-      request: this.#call.request,
+      request: this.#parsed.requestId,
       server: server?.id ?? "",
       reason,
-      time: this.#age(),
+      time: this.#elapsed(),
     });
   }
 
-  left(state: "sent" | "waiting"): void {
+  /** Records that the caller disconnected. */
+  recordDisconnect(state: "sent" | "waiting"): void {
     const { log, metrics } = this.#context;
     metrics.failures.inc({ service: this.#resolved.service, reason: "left" });
     log.write({
       event: "left",
-      request: this.#call.request,
+      request: this.#parsed.requestId,
       state,
-      time: this.#age(),
+      time: this.#elapsed(),
     });
   }
 
-  answered(
+  recordResponse(
     server: ServerRecord,
     status: number,
-    progress: AnswerProgress,
+    progress: ResponseProgress,
   ): void {
     const { clock, metrics, log } = this.#context;
     const { service, route, cost } = this.#resolved;
     const labels = { service, route: route.name };
     const now = clock();
-    const first = (progress.firstAt ?? now) - this.#call.arrived;
-    const time = now - this.#call.arrived;
-    metrics.answers.inc({ service, status: String(status) });
-    metrics.firstByte.observe(labels, first / 1000);
-    metrics.whole.observe(labels, time / 1000);
+    const timeToFirstPart = (progress.firstPartAt ?? now) -
+      this.#parsed.arrivedAt;
+    const time = now - this.#parsed.arrivedAt;
+    metrics.responses.inc({ service, status: String(status) });
+    metrics.timeToFirstByte.observe(labels, timeToFirstPart / 1000);
+    metrics.timeToLastByte.observe(labels, time / 1000);
     log.write({
       event: "answered",
-      request: this.#call.request,
+      request: this.#parsed.requestId,
       server: server.id,
       status,
-      first: Math.round(first),
+      first: Math.round(timeToFirstPart),
       time: Math.round(time),
       promptTokens: cost.promptTokens,
       outputTokens: cost.outputTokens,
-      events: progress.events,
+      events: progress.eventCount,
       longestPause: Math.round(progress.longestPause),
     });
   }
@@ -156,7 +163,7 @@
     return this.#context.activeConfiguration()?.configuration.version ?? 0;
   }
 
-  #age(): number {
-    return Math.round(this.#context.clock() - this.#call.arrived);
+  #elapsed(): number {
+    return Math.round(this.#context.clock() - this.#parsed.arrivedAt);
   }
 }
--- a/packages/gateway/src/request/request_task.ts
+++ b/packages/gateway/src/request/request_task.ts
@@ -1,142 +1,155 @@
 /**
- * One caller's request from its arrival to its final answer.
+ * Runs one caller's request from its arrival to its final response.
  *
- * Where it stands decides what may be said of it. Until something was written to
- * a server, it has not run, and a refusal says so truly. Once written, only the
- * server's own word says that it did not run; all else may have run, is not sent
- * again unless it may be repeated, and is never answered as not run.
+ * A request has certainly not run until something was written to a server; until
+ * then it may be refused as not run. After that, only an explicit statement of the
+ * server (status 421, or the `notRun` header) proves that it did not run. In all
+ * other cases it may have run: it is retried only if its route allows repetition,
+ * and it is never reported to the caller as not run.
  * @module
  */
 import { incarnationOf, isRepeatable } from "@sycamorepulley/decisions";
 import type { ServerRecord } from "@sycamorepulley/decisions";
-import type { Call } from "../front/parsed_request.ts";
+import type { ParsedRequest } from "../front/parsed_request.ts";
 import type { GrantResult } from "../peers/pending_grant.ts";
-import { AnswerProgress } from "./answer_progress.ts";
-import { fingerprintOf } from "./backend_headers.ts";
-import type { Caller } from "./caller.ts";
-import type { ExchangeEnd } from "./exchange.ts";
-import { FinalAnswer } from "./final_answer.ts";
-import type { GivenUp } from "./final_answer.ts";
-import { lapseOf, LEAST_TIME_LEFT } from "./patience.ts";
-import type { ReplyReason } from "./reply.ts";
+import { ResponseProgress } from "./response_progress.ts";
+import { requestFingerprint } from "./backend_headers.ts";
+import type { CallerConnection } from "./caller_connection.ts";
+import type { ExchangeResult } from "./exchange.ts";
+import { FinalResponse } from "./final_response.ts";
+import type { GiveUpOptions } from "./final_response.ts";
+import { grantDeadline, MIN_REMAINING_TIME } from "./timeouts.ts";
+import type { ErrorReason } from "./error_response.ts";
 import type { RequestContext } from "./request_context.ts";
 import { RequestReport } from "./request_report.ts";
 import type { ResolvedRequest } from "./resolve_request.ts";
-import { ServerTry } from "./server_try.ts";
-import type { TriedAt, TryEnd } from "./server_try.ts";
+import { ServerAttempt } from "./server_attempt.ts";
+import type { AttemptResult, AttemptTarget } from "./server_attempt.ts";
 
 /**
- * Grants that one request may use up, whatever became of them. A refused connect
- * takes a millisecond and reaches nobody; a whole data centre of servers may be
- * down, and each refuses one.
+ * Largest number of grants for one request, including those that failed. A refused
+ * connection costs about a millisecond and runs nothing, and when a whole data
+ * centre is down every server in it refuses one.
  */
-const MOST_GRANTS = 20;
-/** Milliseconds after which a refused caller may come back, if nothing is known. */
+const MAX_GRANTS = 20;
+/** Milliseconds a refused caller is asked to wait if no better estimate exists. */
 const DEFAULT_RETRY_AFTER = 300;
 
-/** See the module. */
+/** Gets grants for a request, sends it to servers, and responds to its caller. */
 export class RequestTask {
   readonly #context: RequestContext;
-  readonly #call: Call;
+  readonly #parsed: ParsedRequest;
   readonly #resolved: ResolvedRequest;
-  readonly #caller: Caller;
+  readonly #caller: CallerConnection;
   readonly #body: Buffer | undefined;
   readonly #fingerprint: string;
   readonly #report: RequestReport;
-  readonly #answer: FinalAnswer;
-  readonly #progress = new AnswerProgress();
-  readonly #avoid: string[] = [];
-  /** Servers that something was written to and that may have run it. */
-  #sent = 0;
+  readonly #response: FinalResponse;
+  readonly #progress = new ResponseProgress();
+  readonly #excludedServers: string[] = [];
+  /** Number of servers that the request was written to and that may have run it. */
+  #serversSentTo = 0;
   #mayHaveRun = false;
-  #stop: (() => void) | undefined;
-  #timeUp = false;
-  /** The resend after a silence is paid for already. */
-  #retryTaken = false;
+  #cancelStep: (() => void) | undefined;
+  #timedOut = false;
+  /** True if the retry after a silence has already been charged to the budget. */
+  #retryConsumed = false;
 
   constructor(
     options: {
       context: RequestContext;
-      call: Call;
+      parsed: ParsedRequest;
       resolved: ResolvedRequest;
-      caller: Caller;
+      caller: CallerConnection;
       body: Buffer | undefined;
     },
   ) {
     this.#context = options.context;
-    this.#call = options.call;
+    this.#parsed = options.parsed;
     this.#resolved = options.resolved;
     this.#caller = options.caller;
     this.#body = options.body;
-    const { context, call, resolved } = options;
-    this.#report = new RequestReport(context, call, resolved);
-    this.#answer = new FinalAnswer(options.caller, this.#report);
-    this.#fingerprint = fingerprintOf(
-      options.call,
+    const { context, parsed, resolved } = options;
+    this.#report = new RequestReport(context, parsed, resolved);
+    this.#response = new FinalResponse(options.caller, this.#report);
+    this.#fingerprint = requestFingerprint(
+      options.parsed,
       options.body,
       options.context.headerNames.requestId,
     );
   }
 
-  /** The caller has left: nothing more is done for it. */
-  left(): void {
-    this.#stop?.();
+  /** Cancels the current step, as nobody waits for the response any more. */
+  callerDisconnected(): void {
+    this.#cancelStep?.();
   }
 
   async run(): Promise<void> {
     const { clock } = this.#context;
-    const left = this.#resolved.deadline - clock();
+    const remaining = this.#resolved.deadline - clock();
     const timer = setTimeout(() => {
-      this.#timeUp = true;
-      this.#stop?.();
-    }, Math.max(0, left));
+      this.#timedOut = true;
+      this.#cancelStep?.();
+    }, Math.max(0, remaining));
     try {
-      await this.#attempts();
+      await this.#runAttempts();
     } finally {
       clearTimeout(timer);
     }
   }
 
-  async #attempts(): Promise<void> {
-    for (let grant = 1; grant <= MOST_GRANTS; grant++) {
-      if (this.#over()) return;
-      const answer = await this.#ask(grant);
-      if (this.#over()) {
-        // A grant that is kept without a request takes a place for ever.
-        if (answer !== undefined) this.#context.grantClient.withdraw(answer.id);
+  async #runAttempts(): Promise<void> {
+    for (let grant = 1; grant <= MAX_GRANTS; grant++) {
+      if (this.#finishIfOver()) return;
+      const granted = await this.#requestGrant(grant);
+      if (this.#finishIfOver()) {
+        // A grant that is never withdrawn would occupy its slot for ever.
+        if (granted !== undefined) {
+          this.#context.grantClient.withdraw(granted.id);
+        }
         return;
       }
-      if (answer === undefined) continue;
-      await this.#sendTo(answer.id, answer.server);
+      if (granted === undefined) continue;
+      await this.#sendToServer(granted.id, granted.server);
     }
-    if (this.#over()) return;
+    if (this.#finishIfOver()) return;
     this.#giveUp("not_run", DEFAULT_RETRY_AFTER);
   }
 
-  /** True when the caller has left or the time is up; the latter is answered. */
-  #over(): boolean {
-    if (this.#answer.given) return true;
-    if (this.#caller.left) {
-      this.#answer.left(this.#sent > 0 ? "sent" : "waiting");
+  /**
+   * Returns true if the request has its response, its caller has disconnected, or its
+   * time is up. Records a disconnect, and sends an error when the time is up.
+   */
+  #finishIfOver(): boolean {
+    if (this.#response.settled) return true;
+    if (this.#caller.disconnected) {
+      this.#response.recordDisconnect(
+        this.#serversSentTo > 0 ? "sent" : "waiting",
+      );
       return true;
     }
-    const left = this.#resolved.deadline - this.#context.clock();
-    if (!this.#timeUp && left >= LEAST_TIME_LEFT) return false;
+    const remaining = this.#resolved.deadline - this.#context.clock();
+    if (!this.#timedOut && remaining >= MIN_REMAINING_TIME) return false;
     this.#giveUp("time_up");
     return true;
   }
 
-  /** A granted server; `undefined` after a refusal, or to ask again. */
-  async #ask(
+  /**
+   * Resolves to the granted server, or to `undefined` if the request was refused,
+   * was cancelled, or has to request another grant.
+   */
+  async #requestGrant(
     grant: number,
   ): Promise<{ id: string; server: ServerRecord } | undefined> {
-    const { grantClient: granter, clock, findServer: server } = this.#context;
+    const { grantClient, clock, findServer } = this.#context;
     const { route, service, organisation, cost, charge } = this.#resolved;
     const { tierRank, routeRank } = this.#resolved;
-    const asked = clock();
-    const { lastEvent } = this.#progress;
-    const from = lastEvent === undefined ? this.#call.arrived : asked;
-    const { id, result: answer } = granter.submit({
+    const requestedAt = clock();
+    const { lastEventId } = this.#progress;
+    const from = lastEventId === undefined
+      ? this.#parsed.arrivedAt
+      : requestedAt;
+    const { id, result } = grantClient.submit({
       service,
       organisation,
       tierRank,
@@ -144,200 +157,216 @@
       cost,
       charge,
       dataCentre: this.#context.dataCentre,
-      arrived: this.#call.arrived,
-      latencyGoalAt: this.#call.arrived + route.latencyGoal,
+      arrived: this.#parsed.arrivedAt,
+      latencyGoalAt: this.#parsed.arrivedAt + route.latencyGoal,
       expiresAt: Math.min(
-        lapseOf(this.#resolved, from),
+        grantDeadline(this.#resolved, from),
         this.#context.drainAdmission.latestStartTime(this.#resolved),
       ),
       deadline: this.#resolved.deadline,
       fingerprint: this.#fingerprint,
       jitter: this.#context.random(),
-      excludedServers: [...this.#avoid],
+      excludedServers: [...this.#excludedServers],
     });
-    const verdict = await this.#orStopped(answer);
-    if (verdict === undefined) {
-      granter.withdraw(id);
+    const grantResult = await this.#unlessCancelled(result);
+    if (grantResult === undefined) {
+      grantClient.withdraw(id);
       return undefined;
     }
-    if (verdict.kind === "refuse") {
-      this.#giveUp(verdict.reason, verdict.retryAfter, verdict);
+    if (grantResult.kind === "refuse") {
+      this.#giveUp(grantResult.reason, grantResult.retryAfter, grantResult);
       return undefined;
     }
-    const record = server(verdict.server);
+    const record = findServer(grantResult.server);
     if (record === undefined) {
-      // It is leaving, and the one that granted has not heard of it yet.
-      granter.withdraw(id);
-      this.#avoid.push(verdict.server);
+      // The server is draining, and the granting entry does not know it yet.
+      grantClient.withdraw(id);
+      this.#excludedServers.push(grantResult.server);
       return undefined;
     }
-    const waited = clock() - asked;
-    const { by } = verdict;
-    this.#report.granted(record, { waited, by, attempt: grant });
+    const waited = clock() - requestedAt;
+    const { by } = grantResult;
+    this.#report.recordGrant(record, { waited, by, attempt: grant });
     return { id, server: record };
   }
 
-  async #sendTo(ask: string, server: ServerRecord): Promise<void> {
-    const { connectionPool: pool, grantClient: granter } = this.#context;
+  async #sendToServer(grantId: string, server: ServerRecord): Promise<void> {
+    const { connectionPool, grantClient } = this.#context;
     const incarnation = incarnationOf(server);
     const strict = !isRepeatable(this.#resolved.route);
-    const channel = await pool.take(server, strict);
-    if (channel.isErr) {
-      // Nothing reached the server, so no resend is spent.
-      granter.recordEnd(ask, channel.error);
-      this.#avoid.push(incarnation);
-      this.#report.retried(server, channel.error, this.#sent);
+    const connection = await connectionPool.acquire(server, strict);
+    if (connection.isErr) {
+      // Nothing reached the server, so this does not consume the retry budget.
+      grantClient.recordEnd(grantId, connection.error);
+      this.#excludedServers.push(incarnation);
+      this.#report.recordRetry(server, connection.error, this.#serversSentTo);
       return;
     }
-    if (this.#caller.left || this.#timeUp || this.#gone(incarnation)) {
-      granter.withdraw(ask);
-      pool.give(server, channel.value);
+    if (
+      this.#caller.disconnected || this.#timedOut ||
+      this.#excludeIfUnusable(incarnation)
+    ) {
+      grantClient.withdraw(grantId);
+      connectionPool.release(server, connection.value);
       return;
     }
-    const at = { ask, server, channel: channel.value };
-    this.#settle(at, await this.#try(at));
+    const target = { grantId, server, connection: connection.value };
+    this.#handleResult(target, await this.#runAttempt(target));
   }
 
-  #gone(incarnation: string): boolean {
+  /** Excludes the server if it may not be used any more; returns true if so. */
+  #excludeIfUnusable(incarnation: string): boolean {
     if (this.#context.findServer(incarnation) !== undefined) return false;
-    this.#avoid.push(incarnation);
+    this.#excludedServers.push(incarnation);
     return true;
   }
 
-  async #try(at: TriedAt): Promise<TryEnd> {
+  async #runAttempt(target: AttemptTarget): Promise<AttemptResult> {
     const context = this.#context;
-    const attempt = new ServerTry({
+    const attempt = new ServerAttempt({
       context,
-      call: this.#call,
+      parsed: this.#parsed,
       resolved: this.#resolved,
       caller: this.#caller,
       body: this.#body,
       progress: this.#progress,
-    }, at);
-    this.#stop = () => attempt.abort();
-    this.#sent++;
+    }, target);
+    this.#cancelStep = () => attempt.abort();
+    this.#serversSentTo++;
     this.#mayHaveRun = true;
-    const end = await attempt.run(
-      this.#mayTryAnother() ? () => this.#leaveSilent(at.server) : undefined,
+    const result = await attempt.run(
+      this.#mayUseAnotherServer()
+        ? () => this.#abandonSilentServer(target.server)
+        : undefined,
     );
-    this.#stop = undefined;
-    return end;
+    this.#cancelStep = undefined;
+    return result;
   }
 
-  /** True if the request goes on elsewhere while its server is silent. */
-  #leaveSilent(server: ServerRecord): boolean {
-    this.#retryTaken = this.#takeRetry(server, "silent");
-    return this.#retryTaken;
+  /** Returns true if the silent server is given up and the request is retried. */
+  #abandonSilentServer(server: ServerRecord): boolean {
+    this.#retryConsumed = this.#consumeRetry(server, "silent");
+    return this.#retryConsumed;
   }
 
-  #settle({ ask, server, channel }: TriedAt, { end, runEnd }: TryEnd): void {
+  #handleResult(
+    { grantId, server, connection }: AttemptTarget,
+    { result, runOutcome }: AttemptResult,
+  ): void {
     const {
-      grantClient: granter,
-      connectionPool: pool,
-      activeConfiguration: inForce,
+      grantClient,
+      connectionPool,
+      activeConfiguration,
       clock,
     } = this.#context;
-    const { services } = inForce()?.configuration ?? {};
+    const { services } = activeConfiguration()?.configuration ?? {};
     const { route, service } = this.#resolved;
-    const pace = this.#progress.pace(this.#sent, {
+    const timing = this.#progress.timing(this.#serversSentTo, {
       tokensPerEvent: services?.get(service)?.tokensPerEvent ?? 1,
       acceptedPause: route.pauseGoal,
     }, clock());
-    granter.recordEnd(ask, runEnd, pace);
-    switch (end.kind) {
+    grantClient.recordEnd(grantId, runOutcome, timing);
+    switch (result.kind) {
       case "stream":
-        pool.give(server, channel);
-        this.#answer.stream(server, end.unframed, this.#progress);
+        connectionPool.release(server, connection);
+        this.#response.endStream(server, result.closeDelimited, this.#progress);
         return;
       case "plain":
-        pool.give(server, channel);
-        this.#plain(server, end);
+        connectionPool.release(server, connection);
+        this.#handlePlainResponse(server, result);
         return;
       case "not_run":
-        pool.give(server, channel);
-        this.#notRun();
-        this.#avoid.push(incarnationOf(server));
-        this.#spendRetry(server, "not_run");
+        connectionPool.release(server, connection);
+        this.#uncountServer();
+        this.#excludedServers.push(incarnationOf(server));
+        this.#retryOrRefuse(server, "not_run");
         return;
       case "broken":
-        this.#avoid.push(incarnationOf(server));
-        this.#broken(server, end.detail);
+        this.#excludedServers.push(incarnationOf(server));
+        this.#handleBrokenResponse(server, result.detail);
         return;
       case "aborted":
     }
   }
 
-  /** A server said that it did not run what was sent to it last. */
-  #notRun(): void {
-    this.#sent--;
-    this.#mayHaveRun = this.#sent > 0;
+  /** Takes the last server off the count, as it stated that it ran nothing. */
+  #uncountServer(): void {
+    this.#serversSentTo--;
+    this.#mayHaveRun = this.#serversSentTo > 0;
   }
 
-  #plain(
+  #handlePlainResponse(
     server: ServerRecord,
-    end: Extract<ExchangeEnd, { kind: "plain" }>,
+    result: Extract<ExchangeResult, { kind: "plain" }>,
   ): void {
-    const failed = end.head.status >= 500;
-    if (failed && this.#mayTryAnother() && this.#takeRetry(server, "failed")) {
-      this.#avoid.push(incarnationOf(server));
+    const failed = result.head.status >= 500;
+    if (
+      failed && this.#mayUseAnotherServer() &&
+      this.#consumeRetry(server, "failed")
+    ) {
+      this.#excludedServers.push(incarnationOf(server));
       return;
     }
-    this.#answer.plain(server, end, this.#progress);
+    this.#response.sendPlain(server, result, this.#progress);
   }
 
-  #broken(server: ServerRecord, detail: string): void {
-    if (this.#retryTaken) {
-      this.#retryTaken = false;
+  #handleBrokenResponse(server: ServerRecord, detail: string): void {
+    if (this.#retryConsumed) {
+      this.#retryConsumed = false;
+      return;
+    }
+    if (this.#mayUseAnotherServer() && this.#consumeRetry(server, "broken")) {
       return;
     }
-    if (this.#mayTryAnother() && this.#takeRetry(server, "broken")) return;
-    if (this.#caller.begun) this.#answer.cut(server, detail);
+    if (this.#caller.responseStarted) this.#response.abort(server, detail);
     else this.#giveUp("broken");
   }
 
-  /** What may have run may go to another server only if it may be repeated. */
-  #mayTryAnother(): boolean {
+  /** A request that may have run may be retried only if its route allows it. */
+  #mayUseAnotherServer(): boolean {
     const { route } = this.#resolved;
-    return isRepeatable(route) && this.#sent < route.maximumServers;
+    return isRepeatable(route) && this.#serversSentTo < route.maximumServers;
   }
 
-  /** Goes on after a try that did not run the request, or answers finally. */
-  #spendRetry(server: ServerRecord, reason: string): void {
-    if (this.#takeRetry(server, reason)) return;
+  /** Retries after an attempt that did not run the request, or refuses it. */
+  #retryOrRefuse(server: ServerRecord, reason: string): void {
+    if (this.#consumeRetry(server, reason)) return;
     this.#giveUp("not_run", DEFAULT_RETRY_AFTER);
   }
 
-  /** Takes a resend from the service's budget; false when it is spent. */
-  #takeRetry(server: ServerRecord, reason: string): boolean {
-    const { consumeRetry: takeResend, clock } = this.#context;
+  /** Takes a retry from the service's budget; false if the budget is exhausted. */
+  #consumeRetry(server: ServerRecord, reason: string): boolean {
+    const { consumeRetry, clock } = this.#context;
     const { service } = this.#resolved;
-    if (!takeResend(service, clock())) return false;
-    this.#report.retried(server, reason, this.#sent);
+    if (!consumeRetry(service, clock())) return false;
+    this.#report.recordRetry(server, reason, this.#serversSentTo);
     return true;
   }
 
   #giveUp(
-    reason: ReplyReason,
+    reason: ErrorReason,
     retryAfter?: number,
-    decided?: GivenUp["decided"],
+    decision?: GiveUpOptions["decision"],
   ): void {
-    this.#answer.giveUp({
+    this.#response.giveUp({
       reason,
       mayHaveRun: this.#mayHaveRun,
-      left: this.#resolved.deadline - this.#context.clock(),
+      remainingTime: this.#resolved.deadline - this.#context.clock(),
       retryAfter,
-      decided,
+      decision,
     });
   }
 
-  /** The answer, or `undefined` once the caller left or the time was up. */
-  #orStopped(answer: Promise<GrantResult>): Promise<GrantResult | undefined> {
+  /** The result, or `undefined` if the caller disconnects or the time is up first. */
+  #unlessCancelled(
+    result: Promise<GrantResult>,
+  ): Promise<GrantResult | undefined> {
     return new Promise((resolve) => {
-      this.#stop = () => resolve(undefined);
-      if (this.#caller.left || this.#timeUp) resolve(undefined);
-      void answer.then((verdict) => {
-        this.#stop = undefined;
-        resolve(verdict);
+      this.#cancelStep = () => resolve(undefined);
+      if (this.#caller.disconnected || this.#timedOut) resolve(undefined);
+      void result.then((grantResult) => {
+        this.#cancelStep = undefined;
+        resolve(grantResult);
       });
     });
   }
--- /dev/null
+++ b/packages/gateway/src/request/server_attempt.ts
@@ -0,0 +1,150 @@
+/** One attempt to run a request at one backend server. @module */
+import { incarnationOf } from "@sycamorepulley/decisions";
+import type { RunOutcome, ServerRecord } from "@sycamorepulley/decisions";
+import type { BackendConnection } from "../backend/backend_connection.ts";
+import type { ParsedRequest } from "../front/parsed_request.ts";
+import type { ResponseProgress } from "./response_progress.ts";
+import { backendHeaders } from "./backend_headers.ts";
+import type { CallerConnection } from "./caller_connection.ts";
+import { Exchange } from "./exchange.ts";
+import type { ExchangeResult } from "./exchange.ts";
+import { silenceTimeouts } from "./timeouts.ts";
+import type { RequestContext } from "./request_context.ts";
+import type { ResolvedRequest } from "./resolve_request.ts";
+import { SilenceWatchdog } from "./silence_watchdog.ts";
+
+/**
+ * Milliseconds without a first part of the response after which a server counts as
+ * unresponsive.
+ */
+const UNRESPONSIVE_AFTER = 1500;
+
+/** The request, and the state that all attempts of it share. */
+export type AttemptRequest = {
+  context: RequestContext;
+  parsed: ParsedRequest;
+  resolved: ResolvedRequest;
+  caller: CallerConnection;
+  body: Buffer | undefined;
+  progress: ResponseProgress;
+};
+
+/** The granted server and a connection to it; `grantId` is the id of the grant. */
+export type AttemptTarget = {
+  grantId: string;
+  server: ServerRecord;
+  connection: BackendConnection;
+};
+
+/** How an attempt ended, and the outcome that the server is judged by. */
+export type AttemptResult = { result: ExchangeResult; runOutcome: RunOutcome };
+
+/** Sends a request to a server and passes the response on to the caller. */
+export class ServerAttempt {
+  readonly #request: AttemptRequest;
+  readonly #target: AttemptTarget;
+  readonly #exchange: Exchange;
+  readonly #sentAt: number;
+  #watchdog: SilenceWatchdog | undefined;
+
+  constructor(request: AttemptRequest, at: AttemptTarget) {
+    this.#request = request;
+    this.#target = at;
+    this.#sentAt = request.context.clock();
+    this.#exchange = this.#createExchange();
+  }
+
+  /** Cancels the attempt; closing the connection tells the server. */
+  abort(): void {
+    this.#exchange.abort();
+  }
+
+  /**
+   * Runs to the end of the response. `onSilence`, if given, is called when the
+   * server has been silent for too long; the attempt fails if it returns true.
+   */
+  async run(onSilence: (() => boolean) | undefined): Promise<AttemptResult> {
+    const { context, parsed, resolved, body, progress } = this.#request;
+    const { clock, headerNames, drainAdmission } = context;
+    const { server } = this.#target;
+    this.#watchdog = onSilence && this.#createWatchdog(onSilence);
+    this.#exchange.start({
+      method: parsed.method,
+      target: parsed.target,
+      headers: backendHeaders({
+        headerNames,
+        parsed,
+        resolved,
+        server,
+        lastEventId: progress.lastEventId,
+        now: this.#sentAt,
+      }),
+      body,
+    });
+    const result = await this.#exchange.done;
+    this.#watchdog?.stop();
+    const time = clock() - this.#sentAt;
+    if (result.kind === "stream") {
+      drainAdmission.streamDurations.observe(resolved.cost, time);
+    }
+    const unresponsive = !this.#exchange.firstPartReceived &&
+      time > UNRESPONSIVE_AFTER;
+    // The caller disconnected while the server had sent nothing for a long time.
+    const leftUnresponsive = result.kind === "aborted" && unresponsive;
+    return {
+      result,
+      runOutcome: leftUnresponsive ? "broken" : runOutcomeOf(result),
+    };
+  }
+
+  #createWatchdog(onSilence: () => boolean): SilenceWatchdog {
+    const timeouts = silenceTimeouts(this.#request.resolved.route);
+    return new SilenceWatchdog(timeouts, () => {
+      if (!onSilence()) return false;
+      this.#exchange.fail("silent");
+      return true;
+    });
+  }
+
+  #createExchange(): Exchange {
+    const { context, parsed, caller, progress } = this.#request;
+    const { clock, grantClient, headerNames } = context;
+    const { grantId, server, connection } = this.#target;
+    return new Exchange({
+      headerNames,
+      requestId: parsed.requestId,
+      connection,
+      onHead: ({ headers }) => {
+        const limit = headers[headerNames.serverLimit.toLowerCase()];
+        grantClient.limits.observe(incarnationOf(server), limit, this.#sentAt);
+      },
+      onFirstPart: () => {
+        progress.recordFirstPart(clock());
+        grantClient.recordResponseStart(grantId, clock() - this.#sentAt);
+      },
+      sink: {
+        onStart: (head) => caller.startStream(head),
+        onEvents: (events, lastEventId) => {
+          progress.recordEvents(lastEventId, clock());
+          this.#watchdog?.reset();
+          caller.sendEvents(events);
+        },
+      },
+    });
+  }
+}
+
+function runOutcomeOf(result: ExchangeResult): RunOutcome {
+  switch (result.kind) {
+    case "stream":
+      return "answered";
+    case "plain":
+      return result.head.status >= 500 ? "failed" : "answered";
+    case "not_run":
+      return result.misdirected ? "misdirected" : "not_run";
+    case "broken":
+      return "broken";
+    case "aborted":
+      return "abandoned";
+  }
+}
--- a/packages/gateway/test/event_log_test.ts
+++ b/packages/gateway/test/event_log_test.ts
@@ -1,7 +1,7 @@
 import t from "tap";
 import { EventLog, LineSink } from "../src/mod.ts";
 
-class Sink extends LineSink {
+class CollectingSink extends LineSink {
   readonly lines: string[] = [];
   full = false;
 
@@ -12,31 +12,33 @@
   }
 }
 
-function messages(sink: Sink): string[] {
+function messages(sink: CollectingSink): string[] {
   return sink.lines.map((line) => JSON.parse(line).message);
 }
 
-t.test("a flood of one event is cut, counted and said", (t) => {
-  const sink = new Sink();
+t.test("lines of an event beyond its limit per second are omitted, counted, and the count is logged", (t) => {
+  const sink = new CollectingSink();
   let now = 0;
   const log = new EventLog({ instance: "e", sink, clock: () => now });
   for (let count = 0; count < 500; count++) {
     log.write({ event: "left", request: "r", state: "sent", time: 1 });
   }
   t.ok(sink.lines.length <= 100);
-  const written = sink.lines.length;
+  const writtenLines = sink.lines.length;
   now = 1500;
   log.write({ event: "dependency_regained", dependency: "store" });
-  t.same(messages(sink).slice(written), ["omitted", "dependency_regained"]);
-  const omitted = JSON.parse(sink.lines[written]!).context;
-  t.match(omitted, { of: "left", lines: 500 - written });
+  t.same(messages(sink).slice(writtenLines), [
+    "omitted",
+    "dependency_regained",
+  ]);
+  const omitted = JSON.parse(sink.lines[writtenLines]!).context;
+  t.match(omitted, { of: "left", lines: 500 - writtenLines });
   t.end();
 });
 
-t.test("a reader that stops reading blocks nothing and is told later", (t) => {
-  // The collector of the logs hangs. Lines that find no room are counted; none
-  // is waited for.
-  const sink = new Sink();
+t.test("lines that do not fit are counted, and the count is logged once there is space", (t) => {
+  // Guards against requests blocked by a log collector that has stopped reading.
+  const sink = new CollectingSink();
   let now = 0;
   const log = new EventLog({ instance: "e", sink, clock: () => now });
   sink.full = true;
--- a/packages/gateway/test/fake_backend_server.ts
+++ b/packages/gateway/test/fake_backend_server.ts
@@ -2,26 +2,26 @@
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import type { AddressInfo, Socket } from "node:net";
 
-/** What a stand-in server got. */
-export type Received = {
+/** A request that a fake backend server received. */
+export type ReceivedRequest = {
   method: string;
   target: string;
   headers: IncomingMessage["headers"];
   body: string;
 };
 
-/** Answers one request; `socket` is for faults. */
-export type Answer = (
+/** Responds to one request; `socket` allows connection failures. */
+export type Respond = (
   response: ServerResponse,
-  received: Received,
+  received: ReceivedRequest,
   socket: Socket,
 ) => void;
 
-/** A backend server of tests: records what it gets, answers as told. */
+/** Backend server for tests: records requests, and responds by `respond`. */
 export class FakeBackendServer {
-  readonly receivedRequests: Received[] = [];
+  readonly receivedRequests: ReceivedRequest[] = [];
   readonly #server: Server;
-  respond: Answer = (response, received) =>
+  respond: Respond = (response, received) =>
     writeSealedHead(response, received).end("ok");
   closedConnections = 0;
 
@@ -58,10 +58,10 @@
   }
 }
 
-/** The head of a server's own answer. */
+/** Writes the head of a response with request id and seal. */
 export function writeSealedHead(
   response: ServerResponse,
-  received: Received,
+  received: ReceivedRequest,
   headers: Record<string, string> = {},
 ): ServerResponse {
   return response.writeHead(200, {
@@ -71,24 +71,24 @@
   });
 }
 
-/** The same for a stream of events. */
+/** Writes the head of a response that is a stream of events. */
 export function startEventStream(
   response: ServerResponse,
-  received: Received,
+  received: ReceivedRequest,
 ): ServerResponse {
   return writeSealedHead(response, received, {
     "content-type": "text/event-stream",
   });
 }
 
-/** One event of a stream. */
+/** Text of one event of a stream. */
 export function streamEvent(id: number): string {
   return `id: ${id}\ndata: piece ${id}\n\n`;
 }
 
-/** The start of an answer as bytes, on a connection that is to close after it. */
-export function rawHead(received: Received): string {
-  const name = String(received.headers["x-request"]);
-  return `HTTP/1.1 200 OK\r\nConnection: close\r\nX-Request: ${name}\r\n` +
+/** Start of a raw HTTP response whose connection closes after it. */
+export function rawResponseHead(received: ReceivedRequest): string {
+  const requestId = String(received.headers["x-request"]);
+  return `HTTP/1.1 200 OK\r\nConnection: close\r\nX-Request: ${requestId}\r\n` +
     "X-Seal: sealed\r\n";
 }
--- a/packages/gateway/test/request_task_test.ts
+++ b/packages/gateway/test/request_task_test.ts
@@ -1,8 +1,8 @@
 import { ServerLimits } from "@sycamorepulley/decisions";
 import type { ServerRecord } from "@sycamorepulley/decisions";
 import t from "tap";
-import type { Call } from "../src/front/parsed_request.ts";
-import type { Caller } from "../src/request/caller.ts";
+import type { ParsedRequest } from "../src/front/parsed_request.ts";
+import type { CallerConnection } from "../src/request/caller_connection.ts";
 import type { RequestContext } from "../src/request/request_context.ts";
 import { DrainAdmission } from "../src/request/drain_admission.ts";
 import { RequestTask } from "../src/request/request_task.ts";
@@ -20,19 +20,18 @@
   draining: false,
 };
 
-t.test("a grant that comes too late is given back", async (t) => {
-  // Places ran out one by one on a busy day: a request whose time was up, or
-  // whose caller had left, as its grant came kept the place for ever.
+t.test("a grant that arrives after the deadline is withdrawn", async (t) => {
+  // Otherwise a late grant, or one after a disconnect, occupies its slot for ever.
   let now = 0;
   const withdrawn: string[] = [];
-  const refused: number[] = [];
+  const errorStatuses: number[] = [];
   const context = {
     headerNames: { requestId: "x-request" },
     clock: () => now,
     random: () => 0,
     log: { write: () => {} },
     metrics: {
-      waited: { observe: () => {} },
+      grantWait: { observe: () => {} },
       refusals: { inc: () => {} },
     },
     drainAdmission: new DrainAdmission(),
@@ -52,11 +51,15 @@
     findServer: () => SERVER,
   } as unknown as RequestContext;
   const caller = {
-    left: false,
-    begun: false,
-    refuse: (status: number) => refused.push(status),
-  } as unknown as Caller;
-  const call = { request: "r", headers: [], arrived: 0 } as unknown as Call;
+    disconnected: false,
+    responseStarted: false,
+    sendError: (status: number) => errorStatuses.push(status),
+  } as unknown as CallerConnection;
+  const parsed = {
+    requestId: "r",
+    forwardedHeaders: [],
+    arrivedAt: 0,
+  } as unknown as ParsedRequest;
   const resolved = {
     route: route(),
     service: "calls",
@@ -67,8 +70,8 @@
     charge: 0,
     deadline: 1000,
   };
-  await new RequestTask({ context, call, resolved, caller, body: undefined })
+  await new RequestTask({ context, parsed, resolved, caller, body: undefined })
     .run();
   t.same(withdrawn, ["ask-1"]);
-  t.same(refused, [503], "it has not run, and is said so");
+  t.same(errorStatuses, [503], "the status says that it has not run");
 });
