--- a/packages/decisions/src/dispatch/group_scheduler.ts
+++ b/packages/decisions/src/dispatch/group_scheduler.ts
@@ -13,7 +13,7 @@
   GrantRequest,
   RunOutcome,
 } from "./grant_request.ts";
-import type { StreamTiming } from "./server_room.ts";
+import type { StreamTiming } from "./pooled_server.ts";
 import { ServiceScheduler } from "./service_scheduler.ts";
 
 /** Ends after which the quota's charge is taken back. */
--- a/packages/decisions/src/dispatch/mod.ts
+++ b/packages/decisions/src/dispatch/mod.ts
@@ -8,5 +8,5 @@
 } from "./grant_request.ts";
 export { GroupScheduler } from "./group_scheduler.ts";
 export type { ServiceLoad } from "./group_scheduler.ts";
-export type { StreamTiming } from "./server_room.ts";
+export type { StreamTiming } from "./pooled_server.ts";
 export { ServiceScheduler } from "./service_scheduler.ts";
--- a/packages/decisions/src/dispatch/server_room.ts
+++ b/packages/decisions/src/dispatch/pooled_server.ts
@@ -5,8 +5,8 @@
 import { LimitedPace, pacedRate } from "../server_limits/mod.ts";
 import type { ServerLimit } from "../server_limits/mod.ts";
 import type { GrantRequest } from "./grant_request.ts";
-import { nominalFirst, nominalRest, Pace } from "./pace.ts";
-import { ReadingLimit } from "./reading_limit.ts";
+import { nominalFirst, nominalRest, Pace } from "./latency_ratio.ts";
+import { ReadingLimit } from "./prefill_limit.ts";
 
 /**
  * Milliseconds of prompts that a server may have to read at a time. Prompts are
--- a/packages/decisions/src/dispatch/ask_value.ts
+++ b/packages/decisions/src/dispatch/priority_key.ts
@@ -9,7 +9,7 @@
  * @module
  */
 import type { AskStanding, GrantRequest } from "./grant_request.ts";
-import { nominalUse } from "./pace.ts";
+import { nominalUse } from "./latency_ratio.ts";
 
 /**
  * Times more that a tier's answer is worth than one of the next tier: operators
--- a/packages/decisions/src/dispatch/ask_queue.ts
+++ b/packages/decisions/src/dispatch/request_queue.ts
@@ -2,8 +2,8 @@
 import { IndexedHeap, OUTSIDE_HEAP } from "../queueing/indexed_heap.ts";
 import type { HeapItem } from "../queueing/indexed_heap.ts";
 import type { AskStanding, GrantRequest } from "./grant_request.ts";
-import { askKey } from "./ask_value.ts";
-import type { SizedKind } from "./size_shares.ts";
+import { askKey } from "./priority_key.ts";
+import type { SizedKind } from "./size_fairness.ts";
 
 /** One waiting ask; `key` is its place in the order. */
 export class WaitingAsk implements HeapItem {
--- a/packages/decisions/src/dispatch/service_rooms.ts
+++ b/packages/decisions/src/dispatch/server_pool.ts
@@ -9,9 +9,13 @@
 import type { GroupFractions } from "../fleet/mod.ts";
 import { ServerLimits } from "../server_limits/mod.ts";
 import type { GrantRequest, RunOutcome } from "./grant_request.ts";
-import { nominalFirst, nominalRest, Pace } from "./pace.ts";
-import { ServerRoom } from "./server_room.ts";
-import type { RoomBounds, ServicePaces, StreamTiming } from "./server_room.ts";
+import { nominalFirst, nominalRest, Pace } from "./latency_ratio.ts";
+import { ServerRoom } from "./pooled_server.ts";
+import type {
+  RoomBounds,
+  ServicePaces,
+  StreamTiming,
+} from "./pooled_server.ts";
 
 /**
  * Milliseconds that a server of another data centre must be faster by, to be
--- a/packages/decisions/src/dispatch/service_scheduler.ts
+++ b/packages/decisions/src/dispatch/service_scheduler.ts
@@ -14,7 +14,7 @@
 import { OrganisationQuotas } from "../quotas/mod.ts";
 import type { QuotaLeeway } from "../quotas/mod.ts";
 import { ServerLimits } from "../server_limits/mod.ts";
-import { AnswerValue } from "./answer_value.ts";
+import { AnswerValue } from "./response_value.ts";
 import type {
   AskStanding,
   GrantDecision,
@@ -23,16 +23,16 @@
   RefusalInputs,
   RunOutcome,
 } from "./grant_request.ts";
-import { AskQueue, WaitingAsk } from "./ask_queue.ts";
-import { GrantRate } from "./grant_rate.ts";
+import { AskQueue, WaitingAsk } from "./request_queue.ts";
+import { GrantRate } from "./service_demand.ts";
 import { QuotaReservations } from "./quota_reservations.ts";
 import { retryAfter } from "./retry_after.ts";
-import { ReturningCallers } from "./returning_callers.ts";
-import { nominalUse } from "./pace.ts";
-import type { StreamTiming } from "./server_room.ts";
-import { ServiceRooms } from "./service_rooms.ts";
-import type { Granted, ServiceView } from "./service_rooms.ts";
-import { SizeShares } from "./size_shares.ts";
+import { ReturningCallers } from "./retrying_callers.ts";
+import { nominalUse } from "./latency_ratio.ts";
+import type { StreamTiming } from "./pooled_server.ts";
+import { ServiceRooms } from "./server_pool.ts";
+import type { Granted, ServiceView } from "./server_pool.ts";
+import { SizeShares } from "./size_fairness.ts";
 
 const NO_LEEWAY: QuotaLeeway = { window: 1000, overage: 0, slack: 0 };
 
--- a/packages/decisions/src/dispatch/size_shares.ts
+++ b/packages/decisions/src/dispatch/size_fairness.ts
@@ -9,8 +9,8 @@
  */
 import type { Cost } from "../queueing/mod.ts";
 import { RecentQuantiles } from "../estimates/recent_quantiles.ts";
-import { sizeOf } from "./answer_value.ts";
-import { nominalUse } from "./pace.ts";
+import { sizeOf } from "./response_value.ts";
+import { nominalUse } from "./latency_ratio.ts";
 
 /** The largest tenth of a kind, the fifth below it, and the rest. */
 export type SizeClass = "largest" | "large" | "usual";
--- a/packages/decisions/src/estimates/cost_estimator.ts
+++ b/packages/decisions/src/estimates/cost_estimator.ts
@@ -14,7 +14,7 @@
  * @module
  */
 import type { Cost } from "../queueing/waiting_reservation.ts";
-import { BoundedMap } from "./bounded_map.ts";
+import { BoundedMap } from "./lru_map.ts";
 import { RunningMean } from "./running_mean.ts";
 
 /** Means kept; each is some 100 bytes, so a process holds under a megabyte. */
--- a/packages/decisions/test/limited_desk_test.ts
+++ b/packages/decisions/test/limited_scheduler_test.ts
@@ -1,7 +1,7 @@
 import t from "tap";
 import { GroupScheduler, ServerLimits } from "../src/mod.ts";
 import type { GrantDecision, GrantRequest } from "../src/mod.ts";
-import { ask, granted } from "./asks.ts";
+import { ask, granted } from "./grant_requests.ts";
 import { serverRecord } from "./server_record.ts";
 
 const LEEWAY = { window: 8000, overage: 0.1, slack: 1e9 };
--- a/packages/decisions/test/quota_reservations_test.ts
+++ b/packages/decisions/test/quota_reservations_test.ts
@@ -2,10 +2,10 @@
 import t from "tap";
 import { GroupScheduler } from "../src/mod.ts";
 import type { GrantDecision } from "../src/mod.ts";
-import { ask, granted } from "./asks.ts";
+import { ask, granted } from "./grant_requests.ts";
 import { serverRecord } from "./server_record.ts";
-import { largestWindow } from "./windows.ts";
-import type { Granted } from "./windows.ts";
+import { largestWindow } from "./maximum_in_window.ts";
+import type { Granted } from "./maximum_in_window.ts";
 
 const LEEWAY = { window: 8000, overage: 0.1, slack: 500 };
 const QUOTA = { ratePerSecond: 1000, burst: 1000 };
--- a/packages/decisions/test/quota_size_test.ts
+++ b/packages/decisions/test/quota_size_test.ts
@@ -1,9 +1,9 @@
 import t from "tap";
 import { GroupScheduler } from "../src/mod.ts";
-import { loadKind } from "./load_kind.ts";
+import { loadKind } from "./request_profile.ts";
 import { serverRecord } from "./server_record.ts";
-import { VirtualFleet } from "./virtual_fleet.ts";
-import type { Call } from "./virtual_fleet.ts";
+import { VirtualFleet } from "./fleet_simulation.ts";
+import type { Call } from "./fleet_simulation.ts";
 
 const LEEWAY = { window: 8000, overage: 0.1, slack: 140_000 };
 const QUOTA = { ratePerSecond: 36_000, burst: 36_000 };
--- a/packages/decisions/test/load_kind.ts
+++ b/packages/decisions/test/request_profile.ts
@@ -1,4 +1,4 @@
-import type { LoadKind } from "./virtual_fleet.ts";
+import type { LoadKind } from "./fleet_simulation.ts";
 
 /** Returns the load of one organisation, with overrides. */
 export function loadKind(
--- a/packages/decisions/test/service_order_test.ts
+++ b/packages/decisions/test/service_order_test.ts
@@ -1,6 +1,6 @@
 import t from "tap";
 import { ServiceScheduler } from "../src/mod.ts";
-import { ask, granted, orderOf } from "./asks.ts";
+import { ask, granted, orderOf } from "./grant_requests.ts";
 import { serverRecord as server } from "./server_record.ts";
 
 t.test("a large answer isn't last for its size alone", (t) => {
--- a/packages/decisions/test/service_desk_test.ts
+++ b/packages/decisions/test/service_scheduler_test.ts
@@ -1,6 +1,6 @@
 import t from "tap";
 import { ServiceScheduler } from "../src/mod.ts";
-import { ask, granted } from "./asks.ts";
+import { ask, granted } from "./grant_requests.ts";
 import { serverRecord as server } from "./server_record.ts";
 
 t.test("no more is sent to a server than it runs at once", (t) => {
--- a/packages/decisions/test/size_share_test.ts
+++ b/packages/decisions/test/size_fairness_load_test.ts
@@ -1,8 +1,8 @@
 import t from "tap";
 import { GroupScheduler } from "../src/mod.ts";
 import { serverRecord } from "./server_record.ts";
-import { VirtualFleet } from "./virtual_fleet.ts";
-import type { Call, LoadKind } from "./virtual_fleet.ts";
+import { VirtualFleet } from "./fleet_simulation.ts";
+import type { Call, LoadKind } from "./fleet_simulation.ts";
 
 const LEEWAY = { window: 8000, overage: 0.1, slack: 1e9 };
 const SPEEDS = new Map([
--- a/packages/decisions/test/size_shares_test.ts
+++ b/packages/decisions/test/size_fairness_test.ts
@@ -1,7 +1,7 @@
 import t from "tap";
 import { RecentQuantiles } from "../src/estimates/recent_quantiles.ts";
-import { nominalUse } from "../src/dispatch/pace.ts";
-import { SizeShares } from "../src/dispatch/size_shares.ts";
+import { nominalUse } from "../src/dispatch/latency_ratio.ts";
+import { SizeShares } from "../src/dispatch/size_fairness.ts";
 import type { Cost } from "../src/mod.ts";
 
 const KIND = "0.0";
