--- a/packages/decisions/src/estimates/cost_estimator.ts
+++ b/packages/decisions/src/estimates/cost_estimator.ts
@@ -1,86 +1,91 @@
 /**
- * What a request will cost, guessed before it runs.
+ * Estimates the cost of a request before it runs.
  *
- * Load pattern: an identification of fifty tokens beside a quote of five
- * thousand. Counted as one each, the organisation that sends quotes takes a
- * hundred times its share, and an engine is filled with quotes.
+ * Requests differ widely: an identification costs fifty tokens, a quote five
+ * thousand. If each counted as one, an organisation that sends quotes would take a
+ * hundred times its fair share, and an engine would be filled with quotes.
  *
- * Prompt tokens follow from the body's size and the service's measured bytes per
- * token. Output tokens are the mean seen for the same service, route, size of
- * prompt and organisation, drawn towards the wider group's while observations
- * are few: a new organisation starts with what the route usually costs, and a
- * new service with a middling guess. Sizes of prompt are grouped by factors of
- * four, so that long and short requests of one route are told apart.
+ * Prompt tokens are estimated from the size of the body and the observed bytes per
+ * token. Output tokens are the mean observed for the same service, route, prompt
+ * size and organisation. While observations are few, the mean is shrunk towards that
+ * of the next wider group: a new organisation starts with the usual cost of the
+ * route, and a new service with a medium one. Prompt sizes are grouped by factors of
+ * four, to distinguish long and short requests of a route.
  * @module
  */
 import type { Cost } from "../queueing/waiting_reservation.ts";
-import { BoundedMap } from "./lru_map.ts";
+import { LruMap } from "./lru_map.ts";
 import { RunningMean } from "./running_mean.ts";
 
-/** Means kept; each is some 100 bytes, so a process holds under a megabyte. */
+/** Maximum number of means: at some 100 bytes each they take under a megabyte. */
 const CAPACITY = 8192;
-/** Bytes of body to a token, until the service has been measured. */
-const COLD_BYTES_PER_TOKEN = 4;
-/** Output of a service never seen: between an identification and a quote. */
-const COLD_OUTPUT_TOKENS = 256;
+/** Bytes of body per token before the first observation. */
+const INITIAL_BYTES_PER_TOKEN = 4;
+/**
+ * Output tokens of a service without observations: between an identification and a
+ * quote.
+ */
+const INITIAL_OUTPUT_TOKENS = 256;
+/** Binary digits of the prompt's size that a class spans: a factor of four. */
 const PROMPT_CLASS_BITS = 2;
 
-/** A request, as far as its cost depends on it. */
+/** The properties of a request that its cost is estimated from. */
 export type RequestShape = {
   service: string;
   organisation: string;
   route: string;
   promptBytes: number;
-  /** The caller's own bound on the answer. */
+  /** The caller's limit on the length of the response. */
   maximumOutputTokens?: number;
 };
 
-/** See the module. */
+/** Learns the cost of requests from responses. */
 export class CostEstimator {
-  readonly #means = new BoundedMap<string, RunningMean>(CAPACITY);
+  readonly #means = new LruMap<string, RunningMean>(CAPACITY);
 
-  /** Means held; bounded. */
+  /** Number of means kept. */
   get size(): number {
     return this.#means.size;
   }
 
   estimate(request: RequestShape): Cost {
-    let outputTokens = COLD_OUTPUT_TOKENS;
+    let outputTokens = INITIAL_OUTPUT_TOKENS;
     for (const key of groupsOf(request)) {
       const mean = this.#means.get(key);
-      outputTokens = mean?.drawnTowards(outputTokens) ?? outputTokens;
+      outputTokens = mean?.shrunkTowards(outputTokens) ?? outputTokens;
     }
-    const most = request.maximumOutputTokens ?? Infinity;
+    const maximum = request.maximumOutputTokens ?? Infinity;
     return {
       promptTokens: this.#promptTokens(request),
-      outputTokens: Math.max(1, Math.round(Math.min(most, outputTokens))),
+      outputTokens: Math.max(1, Math.round(Math.min(maximum, outputTokens))),
     };
   }
 
-  /** Learns from an answer that is whole; cut answers say nothing. */
+  /** Learns from a complete response; an incomplete one does not show the cost. */
   observe(
-    answered: RequestShape & { promptTokens?: number; outputTokens: number },
+    completed: RequestShape & { promptTokens?: number; outputTokens: number },
   ): void {
-    for (const key of groupsOf(answered)) {
-      this.#meanOf(key).observe(answered.outputTokens);
+    for (const key of groupsOf(completed)) {
+      this.#meanOf(key).observe(completed.outputTokens);
     }
-    if (answered.promptTokens !== undefined && answered.promptTokens > 0) {
-      const bytes = answered.promptBytes / answered.promptTokens;
-      this.#meanOf(bytesKey(answered)).observe(bytes);
+    if (completed.promptTokens !== undefined && completed.promptTokens > 0) {
+      const bytes = completed.promptBytes / completed.promptTokens;
+      this.#meanOf(bytesKey(completed)).observe(bytes);
     }
   }
 
   #promptTokens(request: RequestShape): number {
-    const bytesPerToken =
-      this.#means.get(bytesKey(request))?.drawnTowards(COLD_BYTES_PER_TOKEN) ??
-        COLD_BYTES_PER_TOKEN;
+    const bytesPerToken = this.#means.get(bytesKey(request))?.shrunkTowards(
+      INITIAL_BYTES_PER_TOKEN,
+    ) ??
+      INITIAL_BYTES_PER_TOKEN;
     return Math.ceil(request.promptBytes / Math.max(0.1, bytesPerToken));
   }
 
   #meanOf(key: string): RunningMean {
-    const known = this.#means.get(key);
-    if (known !== undefined) {
-      return known;
+    const existing = this.#means.get(key);
+    if (existing !== undefined) {
+      return existing;
     }
     const mean = new RunningMean();
     this.#means.set(key, mean);
@@ -88,7 +93,7 @@
   }
 }
 
-/** From the widest group to the narrowest. */
+/** Returns the keys of a request's groups, from the widest to the narrowest. */
 function groupsOf(request: RequestShape): string[] {
   const { service, route, organisation } = request;
   const bits = Math.floor(Math.log2(Math.max(1, request.promptBytes)));
--- a/packages/decisions/src/estimates/drain_rate.ts
+++ b/packages/decisions/src/estimates/drain_rate.ts
@@ -1,42 +1,45 @@
 /**
- * How fast a queue drains, and from it when a refused caller should return.
+ * Estimates how fast a queue drains, and from it when a refused caller should retry.
  *
- * Load pattern: overload with callers that come back. A fixed Retry-After either
- * brings all of them back while the queue is still full, or leaves the engine
- * idle after a short burst. Work done is counted with an exponential memory of
- * ten seconds: a few long answers, yet a slow engine shows within seconds.
- * Jitter of up to half the wait keeps callers that were refused together from
- * returning together.
+ * Under overload with retrying callers, a fixed Retry-After either brings all of
+ * them back while the queue is still full, or leaves the engine idle after a short
+ * burst. Completed work is counted with exponential decay over ten seconds, which
+ * covers a few long responses, yet shows a slow engine within seconds. Jitter of up
+ * to half the wait keeps callers that were refused together from retrying together.
  * @module
  */
 
-const MEMORY = 10_000;
-const SHORTEST_RETRY_AFTER = 250;
-const LONGEST_RETRY_AFTER = 60_000;
-/** Told while nothing has been served yet. */
-const COLD_RETRY_AFTER = 1000;
-const JITTER = 0.5;
+/** Time constant of the decay, in milliseconds. */
+const DECAY_TIME = 10_000;
+/** Bounds in milliseconds, without jitter. */
+const MINIMUM_RETRY_AFTER = 250;
+const MAXIMUM_RETRY_AFTER = 60_000;
+/** Milliseconds while nothing has been completed yet. */
+const INITIAL_RETRY_AFTER = 1000;
+/** Maximum jitter as a fraction of the wait. */
+const MAXIMUM_JITTER = 0.5;
 
-/** Work served per millisecond, and the wait worked out from it. */
+/** Measures completed work per millisecond and derives waiting times from it. */
 export class DrainRate {
   #work = 0;
-  #lastNow: number | undefined;
-  #firstNow: number | undefined;
+  #lastObservedAt: number | undefined;
+  #firstObservedAt: number | undefined;
 
-  /** `work` units were served to their end at `now`. */
+  /** Records that `work` units were completed at `now`. */
   observe(work: number, now: number): void {
-    this.#firstNow ??= now;
+    this.#firstObservedAt ??= now;
     this.#work = this.#decayed(now) + work;
-    this.#lastNow = now;
+    this.#lastObservedAt = now;
   }
 
   /** Work per millisecond; undefined before the first observation. */
   rate(now: number): number | undefined {
-    if (this.#firstNow === undefined) {
+    if (this.#firstObservedAt === undefined) {
       return undefined;
     }
-    const age = Math.max(1000, now - this.#firstNow);
-    return this.#decayed(now) / (MEMORY * (1 - Math.exp(-age / MEMORY)));
+    const age = Math.max(1000, now - this.#firstObservedAt);
+    return this.#decayed(now) /
+      (DECAY_TIME * (1 - Math.exp(-age / DECAY_TIME)));
   }
 
   /**
@@ -45,30 +48,30 @@
    */
   retryAfter(queuedWorkAhead: number, now: number, random: number): number {
     const wait = this.expectedWait(queuedWorkAhead, now);
-    return Math.round(clamp(wait) * (1 + JITTER * random));
+    return Math.round(clamp(wait) * (1 + MAXIMUM_JITTER * random));
   }
 
   /** Milliseconds until `queuedWorkAhead` has drained, without jitter. */
   expectedWait(queuedWorkAhead: number, now: number): number {
     const rate = this.rate(now);
     if (rate === undefined) {
-      return queuedWorkAhead > 0 ? COLD_RETRY_AFTER : 0;
+      return queuedWorkAhead > 0 ? INITIAL_RETRY_AFTER : 0;
     }
     if (queuedWorkAhead <= 0) {
       return 0;
     }
-    return Math.min(LONGEST_RETRY_AFTER, queuedWorkAhead / rate);
+    return Math.min(MAXIMUM_RETRY_AFTER, queuedWorkAhead / rate);
   }
 
   #decayed(now: number): number {
-    const age = Math.max(0, now - (this.#lastNow ?? now));
-    return this.#work * Math.exp(-age / MEMORY);
+    const age = Math.max(0, now - (this.#lastObservedAt ?? now));
+    return this.#work * Math.exp(-age / DECAY_TIME);
   }
 }
 
 function clamp(milliseconds: number): number {
   return Math.min(
-    LONGEST_RETRY_AFTER,
-    Math.max(SHORTEST_RETRY_AFTER, milliseconds),
+    MAXIMUM_RETRY_AFTER,
+    Math.max(MINIMUM_RETRY_AFTER, milliseconds),
   );
 }
--- a/packages/decisions/src/estimates/lru_map.ts
+++ b/packages/decisions/src/estimates/lru_map.ts
@@ -1,7 +1,7 @@
-/** A map that forgets its least recently used entry when full. @module */
+/** Map that evicts its least recently used entry when it is full. @module */
 
-/** Bounds what callers with many routes or organisations can make a process hold. */
-export class BoundedMap<Key, Value> {
+/** Bounds the memory that callers with many routes or organisations can use up. */
+export class LruMap<Key, Value> {
   readonly #capacity: number;
   readonly #entries = new Map<Key, Value>();
 
@@ -13,7 +13,7 @@
     return this.#entries.size;
   }
 
-  /** The value, which counts as used by this. */
+  /** Returns the value and marks it as the most recently used. */
   get(key: Key): Value | undefined {
     const value = this.#entries.get(key);
     if (value !== undefined) {
@@ -27,11 +27,11 @@
     this.#entries.delete(key);
     this.#entries.set(key, value);
     if (this.#entries.size > this.#capacity) {
-      this.#forgetOldest();
+      this.#evictOldest();
     }
   }
 
-  #forgetOldest(): void {
+  #evictOldest(): void {
     for (const key of this.#entries.keys()) {
       this.#entries.delete(key);
       return;
--- a/packages/decisions/src/estimates/mod.ts
+++ b/packages/decisions/src/estimates/mod.ts
@@ -1,4 +1,4 @@
-/** Estimates of cost, service time and drain. @module */
+/** Estimates of cost, service time and drain rate. @module */
 export { CostEstimator } from "./cost_estimator.ts";
 export type { RequestShape } from "./cost_estimator.ts";
 export { DrainRate } from "./drain_rate.ts";
--- a/packages/decisions/src/estimates/recent_quantiles.ts
+++ b/packages/decisions/src/estimates/recent_quantiles.ts
@@ -1,11 +1,11 @@
-/** Quantiles of the latest values, exact from the first one on. @module */
+/** Quantiles of the most recent values. @module */
 
-/** Values that are remembered. */
-const SAMPLE = 256;
-/** Values between two sortings of a full sample. */
-const SORTED_EVERY = 8;
+/** Number of values that are kept. */
+const SAMPLE_SIZE = 256;
+/** Number of new values after which a full sample is sorted again. */
+const SORT_INTERVAL = 8;
 
-/** See the module. */
+/** Sample of the most recent values; exact quantiles while it is not full. */
 export class RecentQuantiles {
   readonly #values: number[] = [];
   #sorted: number[] = [];
@@ -14,11 +14,11 @@
 
   add(value: number): void {
     this.#values[this.#next] = value;
-    this.#next = (this.#next + 1) % SAMPLE;
+    this.#next = (this.#next + 1) % SAMPLE_SIZE;
     this.#unsorted++;
   }
 
-  /** `quantile` lies between 0 and 1; `undefined` before the first value. */
+  /** Returns the `quantile`, from 0 to 1; `undefined` before the first value. */
   value(quantile: number): number | undefined {
     this.#sort();
     const last = this.#sorted.length - 1;
@@ -26,8 +26,8 @@
   }
 
   #sort(): void {
-    const full = this.#sorted.length === SAMPLE;
-    if (this.#unsorted === 0 || full && this.#unsorted < SORTED_EVERY) return;
+    const full = this.#sorted.length === SAMPLE_SIZE;
+    if (this.#unsorted === 0 || full && this.#unsorted < SORT_INTERVAL) return;
     this.#sorted = [...this.#values].sort((one, other) => one - other);
     this.#unsorted = 0;
   }
--- a/packages/decisions/src/estimates/running_mean.ts
+++ b/packages/decisions/src/estimates/running_mean.ts
@@ -1,11 +1,11 @@
-/** A mean that follows changes, with how far it may be trusted. @module */
+/** Running mean that follows changes, with the number of its observations. @module */
 
-/** Observations that the mean remembers. */
-const MEMORY = 50;
-/** A parent's mean counts as this many observations of one's own. */
-const PARENT_WEIGHT = 4;
+/** Number of observations after which the mean decays exponentially. */
+const WINDOW = 50;
+/** Number of own observations that a prior counts as. */
+const PRIOR_WEIGHT = 4;
 
-/** Exact over the first observations, exponentially forgetting afterwards. */
+/** Exact mean of the first observations, exponentially weighted afterwards. */
 export class RunningMean {
   #mean = 0;
   #count = 0;
@@ -15,13 +15,13 @@
   }
 
   observe(value: number): void {
-    this.#count = Math.min(MEMORY, this.#count + 1);
+    this.#count = Math.min(WINDOW, this.#count + 1);
     this.#mean += (value - this.#mean) / this.#count;
   }
 
-  /** The mean, drawn towards `parent` while observations are few. */
-  drawnTowards(parent: number): number {
-    const weight = this.#count + PARENT_WEIGHT;
-    return (this.#mean * this.#count + parent * PARENT_WEIGHT) / weight;
+  /** Returns the mean, shrunk towards `prior` while observations are few. */
+  shrunkTowards(prior: number): number {
+    const weight = this.#count + PRIOR_WEIGHT;
+    return (this.#mean * this.#count + prior * PRIOR_WEIGHT) / weight;
   }
 }
--- a/packages/decisions/src/estimates/service_time_estimator.ts
+++ b/packages/decisions/src/estimates/service_time_estimator.ts
@@ -1,112 +1,121 @@
 /**
- * How long one backend server, or one generation of them, takes for a cost.
+ * Estimates how long one backend server, or one generation of servers, takes for a
+ * request of a given cost.
  *
- * Load pattern: engines of unlike speed and requests with little time left. A
- * request granted to an engine that cannot finish it in time wastes its whole
- * prefill; one held back by a guess from a faster engine does as well.
+ * Engines differ in speed, and requests may have little time left. A request granted
+ * to an engine that cannot complete it in time wastes its whole prefill; so does one
+ * that was held back by an estimate from a faster engine.
  *
- * Time to first token is a base plus a time per prompt token, by regression with
- * exponential forgetting; the rest is a time per output token.
+ * The time to first token is a base plus a time per prompt token, by linear
+ * regression with exponential forgetting. The decode time is proportional to the
+ * output tokens.
  *
- * What must fit a deadline is taken half as long again as the mean. Answers vary
- * in length: on a slow engine that the mean just fits, every second one is late
- * after its whole prefill, while a refusal sends it to a faster engine. In the
- * bench at twice the capacity this halves the late prefill; a margin of two
- * refuses the longest work on all engines.
+ * Estimates that must fit a deadline are half as long again as the mean. Responses
+ * vary in length: at a slow engine where the mean just fits, every second response
+ * would be late after its whole prefill, while a refusal sends the request to a
+ * faster engine. At a load of twice the capacity this halves the prefill of late
+ * responses. A margin of two would refuse the longest work at all engines.
  * @module
  */
 import type { Cost } from "../queueing/waiting_reservation.ts";
 
+/** Factor of the conservative estimates. */
 const MARGIN = 1.5;
-/** What one answer takes from the weight of those before it. */
+/** Factor by which each response reduces the weight of those before it. */
 const FORGETTING = 0.98;
-/** Cold start: 100 ms, 2,000 prompt tokens a second, 38 ms a token. */
-const COLD_FIRST_TOKEN = 100;
-const COLD_PER_PROMPT_TOKEN = 0.5;
-const COLD_PER_OUTPUT_TOKEN = 38;
-/** The cold start counts as two answers of these sizes. */
-const COLD_PROMPT_TOKENS = [0, 1000] as const;
-const COLD_OUTPUT_TOKENS = 50;
+/**
+ * Initial estimate in milliseconds: 100 ms, 2,000 prompt tokens per second, 38 ms
+ * per output token.
+ */
+const INITIAL_FIRST_TOKEN = 100;
+const INITIAL_PER_PROMPT_TOKEN = 0.5;
+const INITIAL_PER_OUTPUT_TOKEN = 38;
+/** The initial estimate counts as two responses of these sizes. */
+const INITIAL_PROMPT_TOKENS = [0, 1000] as const;
+const INITIAL_OUTPUT_TOKENS = 50;
 
-/** An answer that was whole; times are milliseconds from the hand-over. */
+/** A complete response; times are milliseconds from sending the request. */
 export type ServedRequest = {
   cost: Cost;
   firstToken: number;
   total: number;
 };
 
-/** See the module. */
+/** Learns service times from complete responses. */
 export class ServiceTimeEstimator {
+  /** Weighted number of responses; the sums below are weighted alike. */
   #weight = 0;
-  #prompts = 0;
-  #firstTokens = 0;
-  #promptSquares = 0;
-  #products = 0;
-  #outputs = COLD_OUTPUT_TOKENS;
-  #decoding = COLD_OUTPUT_TOKENS * COLD_PER_OUTPUT_TOKEN;
+  #promptSum = 0;
+  #firstTokenSum = 0;
+  #promptSquareSum = 0;
+  #productSum = 0;
+  #outputTokens = INITIAL_OUTPUT_TOKENS;
+  #decodeTime = INITIAL_OUTPUT_TOKENS * INITIAL_PER_OUTPUT_TOKEN;
 
   constructor() {
-    for (const prompt of COLD_PROMPT_TOKENS) {
-      const time = COLD_FIRST_TOKEN + COLD_PER_PROMPT_TOKEN * prompt;
+    for (const prompt of INITIAL_PROMPT_TOKENS) {
+      const time = INITIAL_FIRST_TOKEN + INITIAL_PER_PROMPT_TOKEN * prompt;
       this.#addFirstToken(prompt, time);
     }
   }
 
-  /** Milliseconds from the hand-over to the end of the answer. */
+  /** Milliseconds from sending the request to the end of the response. */
   expectedTotal(cost: Cost): number {
     return this.expectedFirstToken(cost) +
-      Math.max(0, cost.outputTokens - 1) * this.#decoding / this.#outputs;
+      Math.max(0, cost.outputTokens - 1) * this.#decodeTime /
+        this.#outputTokens;
   }
 
-  /** Milliseconds from the hand-over to the first token. */
+  /** Milliseconds from sending the request to the first token. */
   expectedFirstToken(cost: Cost): number {
     const slope = this.#slope();
-    const mean = this.#firstTokens / this.#weight;
-    const meanPrompt = this.#prompts / this.#weight;
+    const mean = this.#firstTokenSum / this.#weight;
+    const meanPrompt = this.#promptSum / this.#weight;
     return Math.max(0, mean + slope * (cost.promptTokens - meanPrompt));
   }
 
-  /** Milliseconds from the hand-over within which most answers are whole. */
+  /** Milliseconds within which most responses are complete. */
   conservativeTotal(cost: Cost): number {
     return MARGIN * this.expectedTotal(cost);
   }
 
-  /** Milliseconds from the hand-over within which most first tokens come. */
+  /** Milliseconds within which most responses have their first token. */
   conservativeFirstToken(cost: Cost): number {
     return MARGIN * this.expectedFirstToken(cost);
   }
 
   observe(served: ServedRequest): void {
     this.#weight *= FORGETTING;
-    this.#prompts *= FORGETTING;
-    this.#firstTokens *= FORGETTING;
-    this.#promptSquares *= FORGETTING;
-    this.#products *= FORGETTING;
+    this.#promptSum *= FORGETTING;
+    this.#firstTokenSum *= FORGETTING;
+    this.#promptSquareSum *= FORGETTING;
+    this.#productSum *= FORGETTING;
     this.#addFirstToken(served.cost.promptTokens, served.firstToken);
-    const outputs = served.cost.outputTokens - 1;
-    if (outputs > 0) {
-      this.#outputs = this.#outputs * FORGETTING + outputs;
-      this.#decoding = this.#decoding * FORGETTING +
+    const decodedTokens = served.cost.outputTokens - 1;
+    if (decodedTokens > 0) {
+      this.#outputTokens = this.#outputTokens * FORGETTING + decodedTokens;
+      this.#decodeTime = this.#decodeTime * FORGETTING +
         Math.max(0, served.total - served.firstToken);
     }
   }
 
   #addFirstToken(promptTokens: number, milliseconds: number): void {
     this.#weight += 1;
-    this.#prompts += promptTokens;
-    this.#firstTokens += milliseconds;
-    this.#promptSquares += promptTokens * promptTokens;
-    this.#products += promptTokens * milliseconds;
+    this.#promptSum += promptTokens;
+    this.#firstTokenSum += milliseconds;
+    this.#promptSquareSum += promptTokens * promptTokens;
+    this.#productSum += promptTokens * milliseconds;
   }
 
   /** Milliseconds per prompt token; never negative. */
   #slope(): number {
-    const spread = this.#weight * this.#promptSquares - this.#prompts ** 2;
-    if (spread <= 1e-9 * this.#weight * this.#promptSquares) {
+    const variance = this.#weight * this.#promptSquareSum -
+      this.#promptSum ** 2;
+    if (variance <= 1e-9 * this.#weight * this.#promptSquareSum) {
       return 0;
     }
-    const together = this.#weight * this.#products -
-      this.#prompts * this.#firstTokens;
-    return Math.max(0, together / spread);
+    const covariance = this.#weight * this.#productSum -
+      this.#promptSum * this.#firstTokenSum;
+    return Math.max(0, covariance / variance);
   }
 }
--- a/packages/decisions/test/estimates_test.ts
+++ b/packages/decisions/test/estimates_test.ts
@@ -9,9 +9,8 @@
 };
 const IDENTIFICATION = { ...QUOTE, promptBytes: 800 };
 
-// A quote and an identification come over one route. Estimated as the route's
-// mean, the identification would wait for room as if it were a quote.
-t.test("quotes and identifications of one route are told apart", (t) => {
+// Estimated by the route's mean, an identification would wait as long as a quote.
+t.test("large and small requests of one route are distinguished", (t) => {
   const estimator = new CostEstimator();
   t.same(estimator.estimate(IDENTIFICATION), {
     promptTokens: 200,
@@ -19,8 +18,8 @@
   });
   for (let index = 0; index < 30; index += 1) {
     estimator.observe({ ...QUOTE, promptTokens: 5000, outputTokens: 2000 });
-    const answer = { promptTokens: 200, outputTokens: 20 };
-    estimator.observe({ ...IDENTIFICATION, ...answer });
+    const response = { promptTokens: 200, outputTokens: 20 };
+    estimator.observe({ ...IDENTIFICATION, ...response });
   }
   const quote = estimator.estimate(QUOTE).outputTokens;
   const identification = estimator.estimate(IDENTIFICATION).outputTokens;
@@ -31,19 +30,22 @@
   t.end();
 });
 
-t.test("a new organisation starts with the route's cost", (t) => {
+t.test("a new organisation starts with the usual cost of the route", (t) => {
   const estimator = new CostEstimator();
   for (let index = 0; index < 50; index += 1) {
     estimator.observe({ ...QUOTE, outputTokens: 2000 });
   }
-  const fresh = { ...QUOTE, organisation: "new" };
-  t.ok(estimator.estimate(fresh).outputTokens > 1800);
-  estimator.observe({ ...fresh, outputTokens: 100 });
-  t.ok(estimator.estimate(fresh).outputTokens > 1000, "one answer is little");
+  const newOrganisation = { ...QUOTE, organisation: "new" };
+  t.ok(estimator.estimate(newOrganisation).outputTokens > 1800);
+  estimator.observe({ ...newOrganisation, outputTokens: 100 });
+  t.ok(
+    estimator.estimate(newOrganisation).outputTokens > 1000,
+    "one response has little weight",
+  );
   t.end();
 });
 
-t.test("a flood of new organisations leaves the common estimate", (t) => {
+t.test("many new organisations do not evict the common estimate", (t) => {
   const estimator = new CostEstimator();
   for (let index = 0; index < 20_000; index += 1) {
     const organisation = `organisation ${index}`;
@@ -54,7 +56,7 @@
   t.end();
 });
 
-t.test("service time follows an engine that slows down", (t) => {
+t.test("the service time follows an engine that becomes slower", (t) => {
   const estimator = new ServiceTimeEstimator();
   const serve = (slowness: number) => {
     for (let index = 0; index < 200; index += 1) {
@@ -74,7 +76,7 @@
   t.end();
 });
 
-t.test("a plain call's time is its mean", (t) => {
+t.test("the expected time of plain calls is their mean", (t) => {
   const estimator = new ServiceTimeEstimator();
   const cost = { promptTokens: 0, outputTokens: 1 };
   for (let index = 0; index < 300; index += 1) {
@@ -84,9 +86,8 @@
   t.end();
 });
 
-// Callers refused together that are told the same second return together, and
-// are refused together once more.
-t.test("callers return when the queue has drained, apart", (t) => {
+// Callers that retry at the same time are refused together once more.
+t.test("callers retry after the queue has drained, at different times", (t) => {
   const drain = new DrainRate();
   t.ok(drain.retryAfter(1000, 0, 0) >= 250, "cold start");
   for (let now = 0; now <= 30_000; now += 100) {
@@ -98,6 +99,9 @@
   t.ok(Math.abs(last - first * 1.5) <= 1, `${last}`);
   t.equal(drain.retryAfter(1e9, 30_000, 0), 60_000);
   t.equal(drain.retryAfter(0, 30_000, 0), 250);
-  t.ok(drain.retryAfter(5000, 40_000, 0) > 2 * first, "nothing drains now");
+  t.ok(
+    drain.retryAfter(5000, 40_000, 0) > 2 * first,
+    "the queue has stopped draining",
+  );
   t.end();
 });
