--- a/packages/decisions/src/dispatch/grant_request.ts
+++ b/packages/decisions/src/dispatch/grant_request.ts
@@ -1,61 +1,66 @@
-/** A request for a backend server, as the granting entry sees it. @module */
+/** Requests for a slot at a backend server, and the decisions on them. @module */
 import type { Cost } from "../queueing/mod.ts";
 
 /**
- * Times are milliseconds of the granting entry's own clock. The request itself,
- * with its body, stays with the entry that asks.
+ * A request for a slot at a backend server. Times are milliseconds of the granting
+ * entry's own clock. The HTTP request itself, with its body, stays with the entry
+ * that sends the grant request.
  */
 export type GrantRequest = {
-  /** Unique among all asks: the asking entry's incarnation and a number. */
+  /** Unique in the fleet: the requesting entry's incarnation and a number. */
   id: string;
-  /** Instance name of the entry that asks. */
+  /** Instance name of the requesting entry. */
   entry: string;
   service: string;
   tierRank: number;
-  /** Of the route, among requests of one tier; 0 is the most urgent. */
+  /** Rank of the route among requests of one tier; 0 is the most urgent. */
   routeRank: number;
-  /** Empty where the route is open to all. */
+  /** Empty if the route is open to all. */
   organisation: string;
   dataCentre: string;
-  /** Tokens of the prompt, and those that the answer is expected to have. */
+  /** Tokens of the prompt, and the expected number of tokens of the response. */
   cost: Cost;
-  /** What the organisation's quota is charged, in tokens. */
+  /** Tokens that are charged to the organisation's quota. */
   charge: number;
   arrived: number;
-  /** Instant by which the first answer is on time. */
+  /** Time by which the response has to start to meet the route's latency goal. */
   latencyGoalAt: number;
-  /** Instant after which a grant is of no use any more. */
+  /** Time after which a grant can no longer be used. */
   expiresAt: number;
-  /** Instant by which the answer must be whole. */
+  /** Time by which the response has to be complete. */
   deadline: number;
-  /** The same for each try of one request by its caller. */
+  /** Identical for all attempts of a caller to send the same request. */
   fingerprint: string;
-  /** In [0, 1): spreads what is asked of several callers at once. */
+  /**
+   * Random number in [0, 1) that varies the retry delay, so that callers that are
+   * refused together do not retry together.
+   */
   jitter: number;
-  /** Servers that this request was sent to before. */
+  /** Servers that have been tried for this request and must not be selected. */
   excludedServers: readonly string[];
 };
 
-/** Why an ask was turned away; none of them has run for it. */
+/** Why a request was refused. No server has run it. */
 export type GrantRefusalReason = "quota" | "overload" | "no_server" | "expired";
 
 /**
- * Whether an ask can be on time, and whether its caller was refused before.
+ * Whether a waiting request can still meet its latency goal: `timely` and `late`.
+ * `returned` is a retry by a caller that was refused before.
  */
-export type AskStanding = "timely" | "returned" | "late";
+export type RequestStanding = "timely" | "returned" | "late";
 
-/** What the entry that refuses an ask saw, to explain it afterwards. */
+/** The state that a refusal was based on, for logs. */
 export type RefusalInputs = {
-  /** Free places of the service's servers, and asks that wait for them. */
+  /** Free slots of the service's servers, and requests that wait for them. */
   free: number;
   waiting: number;
-  /** Milliseconds until the organisation's quota allows the ask. */
+  /** Milliseconds until the organisation's quota allows the request. */
   quotaWait: number;
-  /** While it waited; absent if the ask was never queued. */
-  standing?: AskStanding | undefined;
+  /** Standing in the queue; absent if the request was never queued. */
+  standing?: RequestStanding | undefined;
 };
 
-/** What became of an ask. */
+/** The decision on a grant request; `retryAfter` is in milliseconds. */
 export type GrantDecision =
   | { kind: "grant"; request: GrantRequest; server: string }
   | {
@@ -66,21 +71,21 @@
     inputs: RefusalInputs;
   };
 
-/** How a granted request ended at its server. */
+/** How the run of a granted request ended. */
 export type RunOutcome =
-  /** A whole answer. */
+  /** The response was complete. */
   | "answered"
-  /** The server answered with a failure of its own. */
+  /** The server responded with an error of its own. */
   | "failed"
-  /** No connection could be opened: refused at once. */
+  /** The connection was refused. */
   | "connection_refused"
-  /** No connection could be opened in time. */
+  /** No connection was established in time. */
   | "connection_timeout"
-  /** The connection broke, or what came was no whole answer. */
+  /** The connection broke, or the response was incomplete or malformed. */
   | "broken"
-  /** The server said that it did not run the request. */
+  /** The server stated that it did not run the request. */
   | "not_run"
-  /** Another server answered at the address, and did not run the request. */
+  /** Another server responded at the address and did not run the request. */
   | "misdirected"
-  /** The caller left, or the time was up. */
+  /** The caller disconnected, or the deadline passed. */
   | "abandoned";
--- a/packages/decisions/src/dispatch/group_scheduler.ts
+++ b/packages/decisions/src/dispatch/group_scheduler.ts
@@ -1,6 +1,7 @@
 /**
- * All that one entry grants for its group: quotas first, then the service's
- * queue. One entry grants for all that hear it; alone, it grants for itself.
+ * Schedules all requests that one entry grants for its group: it checks quotas,
+ * then passes each request to the scheduler of its service. One entry grants for
+ * all entries of its group; an entry without peers grants for itself.
  * @module
  */
 import type { ServerRecord } from "../discovery/mod.ts";
@@ -16,8 +17,8 @@
 import type { StreamTiming } from "./pooled_server.ts";
 import { ServiceScheduler } from "./service_scheduler.ts";
 
-/** Ends after which the quota's charge is taken back. */
-const NOT_RUN: ReadonlySet<RunOutcome> = new Set<RunOutcome>([
+/** Outcomes after which the charge to the quota is refunded. */
+const NOT_RUN_OUTCOMES: ReadonlySet<RunOutcome> = new Set<RunOutcome>([
   "connection_refused",
   "connection_timeout",
   "not_run",
@@ -25,39 +26,39 @@
 ]);
 
 /**
- * Milliseconds to come back after a quota was used up, at least, and up to twice
- * as many: others of the organisation wait for the next tokens as well, and a
- * caller has one retry.
+ * Minimum retry delay in milliseconds after a refusal for the quota; jitter up to
+ * doubles it. Other requests of the organisation compete for the next tokens too,
+ * and a caller has one retry.
  */
-const SOONEST_RETRY = 1000;
+const MINIMUM_QUOTA_RETRY_DELAY = 1000;
 
-/** How full a service is, as the group knows it. */
+/** Load of a service, as seen by the granting entry. */
 export type ServiceLoad = {
   service: string;
   waiting: number;
   running: number;
-  /** Requests that all its servers run at once. */
+  /** Slots of all servers together. */
   places: number;
-  /** Grants in a second. */
+  /** Grants in the last second. */
   granted: number;
 };
 
-/** Grants for a group of entries; verdicts are drawn by {@link GroupScheduler.decide}. */
+/** Grants requests for a group of entries; decisions are made by {@link GroupScheduler.decide}. */
 export class GroupScheduler {
   readonly #services = new Map<string, ServiceScheduler>();
   readonly #quotas: OrganisationQuotas;
-  /** Asks that wait or run. */
-  readonly #asks = new Map<string, GrantRequest>();
+  /** Requests that wait or run, by id. */
+  readonly #requests = new Map<string, GrantRequest>();
   readonly #limits: ServerLimits;
-  #parts: GroupFractions = { room: 1, quota: 1 };
+  #fractions: GroupFractions = { room: 1, quota: 1 };
 
-  /** `limits`: what servers state of what they accept; nothing if absent. */
+  /** `limits` holds the rates that servers accept; no limits if absent. */
   constructor(leeway: QuotaLeeway, limits = new ServerLimits()) {
     this.#limits = limits;
     this.#quotas = new OrganisationQuotas(leeway);
   }
 
-  /** Takes over the servers that may be sent work, of all services. */
+  /** Replaces the set of servers, of all services, that may be sent requests. */
   setServers(records: readonly ServerRecord[]): void {
     const byService = new Map<string, ServerRecord[]>();
     for (const record of records) {
@@ -65,8 +66,8 @@
       if (same === undefined) byService.set(record.service, [record]);
       else same.push(record);
     }
-    for (const [name, desk] of this.#services) {
-      if (!byService.has(name)) desk.setServers([]);
+    for (const [name, scheduler] of this.#services) {
+      if (!byService.has(name)) scheduler.setServers([]);
     }
     for (const [name, servers] of byService) {
       this.#service(name).setServers(servers);
@@ -78,129 +79,129 @@
     this.#quotas.setLeeway(leeway);
   }
 
-  /** Takes over quotas, and the group's parts. */
+  /** Sets the quotas, and the fractions of the fleet's capacity and quotas to use. */
   setQuotas(
     quotas: ReadonlyMap<string, Quota>,
-    parts: GroupFractions,
+    fractions: GroupFractions,
     now: number,
   ): void {
-    this.#parts = parts;
-    this.#quotas.configure(quotas, parts.quota, now);
-    for (const desk of this.#services.values()) desk.setParts(parts);
+    this.#fractions = fractions;
+    this.#quotas.configure(quotas, fractions.quota, now);
+    for (const scheduler of this.#services.values()) {
+      scheduler.setFractions(fractions);
+    }
   }
 
-  /** Queues an ask, or turns it away at once; one that is known stays as it is. */
+  /** Queues a request, or refuses it at once. Ignores a request that it has already. */
   submit(request: GrantRequest, now: number): GrantDecision | undefined {
-    if (this.#asks.has(request.id)) return undefined;
+    if (this.#requests.has(request.id)) return undefined;
     const wait = this.#quotas.waitFor(
       request.organisation,
       request.charge,
       now,
     );
     if (now + wait > request.expiresAt) {
-      const soonest = SOONEST_RETRY * (1 + request.jitter);
-      const retryAfter = Math.max(wait, soonest);
-      const inputs = this.#service(request.service).seen(request, now);
-      return {
-        kind: "refuse",
-        request: request,
-        reason: "quota",
-        retryAfter,
-        inputs: inputs,
-      };
+      const minimum = MINIMUM_QUOTA_RETRY_DELAY * (1 + request.jitter);
+      const retryAfter = Math.max(wait, minimum);
+      const inputs = this.#service(request.service).refusalInputs(request, now);
+      return { kind: "refuse", request, reason: "quota", retryAfter, inputs };
     }
-    const verdict = this.#service(request.service).submit(request, now);
-    if (verdict === undefined) this.#asks.set(request.id, request);
-    return verdict;
+    const decision = this.#service(request.service).submit(request, now);
+    if (decision === undefined) this.#requests.set(request.id, request);
+    return decision;
   }
 
-  /** The request did not run: it no longer waits, or its grant went unused. */
-  withdraw(ask: GrantRequest): void {
-    if (this.#remove(ask)) {
-      this.#quotas.refund(ask.organisation, ask.charge);
+  /** Removes a request that does not run: it stopped waiting, or its grant is unused. */
+  withdraw(request: GrantRequest): void {
+    if (this.#remove(request)) {
+      this.#quotas.refund(request.organisation, request.charge);
     }
   }
 
-  /** Another entry counts the ask from now on; what it was charged stands. */
-  release(ask: GrantRequest): void {
-    this.#remove(ask);
+  /** Removes a request that another entry counts from now on; it stays charged. */
+  release(request: GrantRequest): void {
+    this.#remove(request);
   }
 
-  /** True if the ask was granted. */
-  #remove(ask: GrantRequest): boolean {
-    if (!this.#asks.delete(ask.id)) return false;
-    return this.#services.get(ask.service)?.withdraw(ask.id) ?? false;
+  /** Returns true if the request was granted. */
+  #remove(request: GrantRequest): boolean {
+    if (!this.#requests.delete(request.id)) return false;
+    return this.#services.get(request.service)?.withdraw(request.id) ?? false;
   }
 
-  /** Counts a run that another entry granted before. */
-  adopt(ask: GrantRequest, server: string): void {
-    this.#asks.set(ask.id, ask);
-    this.#service(ask.service).adopt(ask, server);
+  /** Counts a run that another entry has granted. */
+  adopt(request: GrantRequest, server: string): void {
+    this.#requests.set(request.id, request);
+    this.#service(request.service).adopt(request, server);
   }
 
   /** See {@link ServiceScheduler.recordResponseStart}. */
-  recordResponseStart(id: string, measured: number, now: number): void {
-    this.#deskOf(id)?.recordResponseStart(id, measured, now);
+  recordResponseStart(id: string, latency: number, now: number): void {
+    this.#schedulerOf(id)?.recordResponseStart(id, latency, now);
   }
 
   /** See {@link ServiceScheduler.recordStreamTiming}. */
-  recordStreamTiming(id: string, pace: StreamTiming, now: number): void {
-    this.#deskOf(id)?.recordStreamTiming(id, pace, now);
+  recordStreamTiming(id: string, timing: StreamTiming, now: number): void {
+    this.#schedulerOf(id)?.recordStreamTiming(id, timing, now);
   }
 
   /** See {@link ServiceScheduler.recordEnd}. */
-  recordEnd(id: string, end: RunOutcome, now: number): void {
-    const ask = this.#asks.get(id);
-    if (ask === undefined) return;
-    this.#asks.delete(id);
-    this.#services.get(ask.service)?.recordEnd(id, end, now);
-    if (!NOT_RUN.has(end)) return;
-    this.#quotas.refund(ask.organisation, ask.charge);
+  recordEnd(id: string, outcome: RunOutcome, now: number): void {
+    const request = this.#requests.get(id);
+    if (request === undefined) return;
+    this.#requests.delete(id);
+    this.#services.get(request.service)?.recordEnd(id, outcome, now);
+    if (!NOT_RUN_OUTCOMES.has(outcome)) return;
+    this.#quotas.refund(request.organisation, request.charge);
   }
 
-  /** Drops all that an entry asked for. */
+  /** Removes all requests of an entry, which has disconnected. */
   removeEntry(entry: string): void {
-    for (const [id, ask] of this.#asks) {
-      if (ask.entry === entry) this.#asks.delete(id);
+    for (const [id, request] of this.#requests) {
+      if (request.entry === entry) this.#requests.delete(id);
+    }
+    for (const scheduler of this.#services.values()) {
+      scheduler.removeEntry(entry);
     }
-    for (const desk of this.#services.values()) desk.removeEntry(entry);
   }
 
-  /** Everything that can be decided now. */
+  /** Makes all decisions that are possible now. */
   decide(now: number): GrantDecision[] {
-    const verdicts: GrantDecision[] = [];
-    for (const desk of this.#services.values()) {
-      verdicts.push(...desk.decide(now));
+    const decisions: GrantDecision[] = [];
+    for (const scheduler of this.#services.values()) {
+      decisions.push(...scheduler.decide(now));
     }
-    for (const verdict of verdicts) {
-      if (verdict.kind === "refuse") this.#asks.delete(verdict.request.id);
+    for (const decision of decisions) {
+      if (decision.kind === "refuse") {
+        this.#requests.delete(decision.request.id);
+      }
     }
-    return verdicts;
+    return decisions;
   }
 
-  /** Waiting and running of each service, for metrics. */
+  /** Returns the load of each service, for logs and metrics. */
   loads(now: number): ServiceLoad[] {
-    return [...this.#services].map(([service, desk]) => ({
+    return [...this.#services].map(([service, scheduler]) => ({
       service,
-      waiting: desk.waiting,
-      running: desk.running,
-      places: desk.places,
-      granted: desk.granted(now),
+      waiting: scheduler.waiting,
+      running: scheduler.running,
+      places: scheduler.slots,
+      granted: scheduler.grantsPerSecond(now),
     }));
   }
 
-  #deskOf(id: string): ServiceScheduler | undefined {
-    const ask = this.#asks.get(id);
-    return ask && this.#services.get(ask.service);
+  #schedulerOf(id: string): ServiceScheduler | undefined {
+    const request = this.#requests.get(id);
+    return request && this.#services.get(request.service);
   }
 
   #service(name: string): ServiceScheduler {
-    let desk = this.#services.get(name);
-    if (desk === undefined) {
-      desk = new ServiceScheduler(this.#quotas, this.#limits);
-      desk.setParts(this.#parts);
-      this.#services.set(name, desk);
+    let scheduler = this.#services.get(name);
+    if (scheduler === undefined) {
+      scheduler = new ServiceScheduler(this.#quotas, this.#limits);
+      scheduler.setFractions(this.#fractions);
+      this.#services.set(name, scheduler);
     }
-    return desk;
+    return scheduler;
   }
 }
--- a/packages/decisions/src/dispatch/latency_ratio.ts
+++ b/packages/decisions/src/dispatch/latency_ratio.ts
@@ -1,82 +1,92 @@
 /**
- * How long servers of unlike speed take: to their first answer, and for each
- * token after it.
+ * Models how long servers take to the first token of a response and for each
+ * further token.
  *
- * Engines differ widely in speed: by the count of requests alone the slowest get
- * as many as the fastest, and long answers don't end there in time. Paces are
- * learned from answers, so that no figure of any engine is set. What was learned
- * of a server that is not sent anything fades, or one bad answer would shut it
- * out for good.
+ * Engines differ widely in speed. Balanced by the number of requests alone, the
+ * slowest engines would get as many as the fastest, and their long responses would
+ * miss the deadline. Latencies are learned from responses, relative to nominal
+ * ones, so that no engine's speed has to be configured. What was learned of a
+ * server that is sent no requests fades; otherwise one slow response would exclude
+ * it for good.
  * @module
  */
 import type { Cost } from "../queueing/mod.ts";
 
-/** Milliseconds of a first token without any prompt, before anything is learned. */
+/** Nominal milliseconds to the first token, without the prefill. */
 const FIRST_TOKEN_BASE = 60;
-/** Prompt tokens read in a millisecond, before anything is learned. */
+/** Nominal prefill speed, in prompt tokens per millisecond. */
 const PROMPT_TOKENS_PER_MILLISECOND = 100;
-/** Milliseconds for each token of an answer, before anything is learned. */
+/** Nominal milliseconds for each token of a response. */
 const TIME_PER_TOKEN = 4;
-/** Answers that a prompt's reading delays. */
-const DELAYED_BY_READING = 6;
-/** Milliseconds of a plain call, before anything is learned. */
+/** Number of responses that are delayed by the prefill of a prompt. */
+const DELAYED_BY_PREFILL = 6;
+/** Nominal milliseconds of a plain call. */
 const PLAIN_CALL = 40;
-/** Weight of the newest observation: about the last ten count. */
+/** Weight of the newest observation; the mean covers about the last ten. */
 const NEWEST_WEIGHT = 0.12;
-/** Bounds of one observation, so that one stall does not count for many. */
-const LEAST_RATIO = 0.1;
-const LARGEST_RATIO = 5;
-/** Milliseconds without an observation in which a pace fades to a third. */
-const FADES_IN = 4000;
+/** Bounds of an observed ratio, so that a single stall has little effect. */
+const MINIMUM_RATIO = 0.1;
+const MAXIMUM_RATIO = 5;
+/**
+ * Milliseconds after the last observation from which on a ratio fades; it fades to
+ * a third in the same time again.
+ */
+const FADE_TIME = 4000;
 
-/** Milliseconds to the first answer at a server of middling speed. */
-export function nominalFirst(cost: Cost, unreadTokens = 0): number {
+/**
+ * Nominal milliseconds to the first token. `pendingPrefillTokens` are prompt
+ * tokens of other requests that the server has to process as well.
+ */
+export function nominalFirstTokenTime(
+  cost: Cost,
+  pendingPrefillTokens = 0,
+): number {
   if (cost.promptTokens === 0) return PLAIN_CALL;
-  const tokens = cost.promptTokens + unreadTokens;
+  const tokens = cost.promptTokens + pendingPrefillTokens;
   return FIRST_TOKEN_BASE + tokens / PROMPT_TOKENS_PER_MILLISECOND;
 }
 
-/** Milliseconds from the first token to the last, likewise. */
-export function nominalRest(cost: Cost): number {
+/** Nominal milliseconds from the first token to the last. */
+export function nominalDecodeTime(cost: Cost): number {
   return cost.promptTokens === 0 ? 0 : cost.outputTokens * TIME_PER_TOKEN;
 }
 
-/** Milliseconds for which a place is taken, likewise. */
-export function nominalRunTime(cost: Cost): number {
-  return nominalFirst(cost) + nominalRest(cost);
+/** Nominal milliseconds of a whole request, in which it occupies a slot. */
+export function nominalTotalTime(cost: Cost): number {
+  return nominalFirstTokenTime(cost) + nominalDecodeTime(cost);
 }
 
 /**
- * Milliseconds of places that an answer takes up, likewise. A prompt is read in
- * between the tokens of all answers beside it, and delays each of them.
+ * Nominal milliseconds of slot time that a request costs. Beside its own time this
+ * is the delay of other responses, as prefill is interleaved with their decoding.
  */
-export function nominalUse(cost: Cost): number {
-  const reading = cost.promptTokens / PROMPT_TOKENS_PER_MILLISECOND;
-  return nominalRunTime(cost) + reading * DELAYED_BY_READING;
+export function nominalSlotTime(cost: Cost): number {
+  const prefillTime = cost.promptTokens / PROMPT_TOKENS_PER_MILLISECOND;
+  return nominalTotalTime(cost) + prefillTime * DELAYED_BY_PREFILL;
 }
 
-/** Measured over nominal times of one server, or of a whole service. */
-export class Pace {
+/** Ratio of measured to nominal latency, of one server or of a whole service. */
+export class LatencyRatio {
   #ratio: number | undefined;
   #observedAt = 0;
 
-  /** False until something was observed. */
-  get known(): boolean {
+  /** True after the first observation. */
+  get isKnown(): boolean {
     return this.#ratio !== undefined;
   }
 
-  /** 1 is middling; `otherwise` before anything was observed. */
-  ratio(now: number, otherwise: number): number {
-    if (this.#ratio === undefined) return otherwise;
-    const age = Math.max(0, now - this.#observedAt - FADES_IN);
-    const faded = Math.exp(-age / FADES_IN);
-    return otherwise + (this.#ratio - otherwise) * faded;
+  /** Above 1 is slower than nominal. Fades to `fallback`, which is also the start. */
+  value(now: number, fallback: number): number {
+    if (this.#ratio === undefined) return fallback;
+    const age = Math.max(0, now - this.#observedAt - FADE_TIME);
+    const weight = Math.exp(-age / FADE_TIME);
+    return fallback + (this.#ratio - fallback) * weight;
   }
 
   observe(measured: number, nominal: number, now: number): void {
     const ratio = Math.min(
-      LARGEST_RATIO,
-      Math.max(LEAST_RATIO, measured / nominal),
+      MAXIMUM_RATIO,
+      Math.max(MINIMUM_RATIO, measured / nominal),
     );
     this.#observedAt = now;
     this.#ratio = this.#ratio === undefined
--- a/packages/decisions/src/dispatch/mod.ts
+++ b/packages/decisions/src/dispatch/mod.ts
@@ -1,4 +1,4 @@
-/** Which backend server a request is sent to, and when. @module */
+/** Decides which backend server a request is sent to, and when. @module */
 export type {
   GrantDecision,
   GrantRefusalReason,
--- a/packages/decisions/src/dispatch/pooled_server.ts
+++ b/packages/decisions/src/dispatch/pooled_server.ts
@@ -1,70 +1,82 @@
-/** What one backend server runs for the group, and whether it has room. @module */
+/**
+ * One backend server as its granting entry knows it: what it runs for the group,
+ * how fast it is, and whether it can take another request.
+ * @module
+ */
 import type { ServerRecord } from "../discovery/mod.ts";
 import type { GroupFractions } from "../fleet/mod.ts";
 import type { Cost } from "../queueing/mod.ts";
-import { LimitedPace, pacedRate } from "../server_limits/mod.ts";
+import { allowedRate, ServerRateLimiter } from "../server_limits/mod.ts";
 import type { ServerLimit } from "../server_limits/mod.ts";
 import type { GrantRequest } from "./grant_request.ts";
-import { nominalFirst, nominalRest, Pace } from "./latency_ratio.ts";
-import { ReadingLimit } from "./prefill_limit.ts";
+import {
+  LatencyRatio,
+  nominalDecodeTime,
+  nominalFirstTokenTime,
+} from "./latency_ratio.ts";
+import { PrefillLimit } from "./prefill_limit.ts";
 
 /**
- * Milliseconds of prompts that a server may have to read at a time. Prompts are
- * read between the tokens of the requests beside them; more at once and their
- * pauses pass the 250 ms that callers accept.
+ * Milliseconds of prefill that may be pending at a server at a time. Prefill is
+ * interleaved with the decoding of other requests; with more of it, the pauses in
+ * their responses exceed the 250 ms that callers accept.
  */
-const UNREAD_TIME = 400;
-/** Part of the time left that an answer is expected to take at most. */
-const LONGEST_RUN_PART = 0.6;
-/** Milliseconds without work for a server that could not be connected to. */
+const MAXIMUM_PENDING_PREFILL = 400;
+/** Fraction of the time left that a response may be expected to take. */
+const MAXIMUM_RUN_FRACTION = 0.6;
+/** Milliseconds without new requests after a failed connection attempt. */
 const FIRST_BACKOFF = 250;
-const LONGEST_BACKOFF = 2000;
+/** The backoff doubles with each failure, up to this many milliseconds. */
+const MAXIMUM_BACKOFF = 2000;
 
 /**
- * Pace of a server that nothing is known of, beside the service's: a little
- * better, so that each is tried, and none is left aside for one slow start.
+ * Factor of the service's latency that is assumed for a server without observations.
+ * It is a little below 1, so that every server is tried, and so that one slow start
+ * does not keep a server from being selected.
  */
-const UNTRIED_PART = 0.8;
+const UNKNOWN_SERVER_RATIO = 0.8;
 
-/** Paces of a whole service, for servers that nothing is known of. */
-export type ServicePaces = { first: number; rest: number };
+/** Latency ratios of a whole service, the default for servers without observations. */
+export type ServiceLatencyRatios = { firstToken: number; decode: number };
 
-/** Of the part that an answer had beyond its first token. */
+/** Timing of a response after its first token. */
 export type StreamTiming = {
+  /** Tokens after the first one. */
   tokens: number;
-  /** Milliseconds that they took. */
+  /** Milliseconds that these tokens took. */
   measured: number;
-  /** Longest pause between two events, over the longest that is accepted. */
+  /** Longest pause between two events, as a fraction of the accepted pause. */
   pausePart: number;
 };
 
 type Run = {
   entry: string;
   cost: Cost;
-  unread: boolean;
-  /** Most prompt tokens that the server had to read at a time meanwhile. */
-  mostUnread: number;
+  /** The response has not started. */
+  inPrefill: boolean;
+  /** Maximum of the server's pending prefill during the run, in prompt tokens. */
+  maximumPendingPrefill: number;
 };
 
-/** What an entry may use of a server; see `GroupParts`. */
-export type RoomBounds = {
-  parts: GroupFractions;
-  /** What the server accepts from all entries together, if it states it. */
+/** What the group may use of a server; see {@link GroupFractions}. */
+export type UsageBounds = {
+  fractions: GroupFractions;
+  /** The rate that the server accepts from all entries together, if it states one. */
   limit: ServerLimit | undefined;
 };
 
-/** One server's runs, by ask. */
-export class ServerRoom {
+/** State of one backend server, with its runs by request id. */
+export class PooledServer {
   record: ServerRecord;
-  readonly #first = new Pace();
-  readonly #rest = new Pace();
-  readonly #reading = new ReadingLimit();
+  readonly #firstTokenRatio = new LatencyRatio();
+  readonly #decodeRatio = new LatencyRatio();
+  readonly #prefillLimit = new PrefillLimit();
   readonly #runs = new Map<string, Run>();
-  #pace: LimitedPace | undefined;
-  #unreadTokens = 0;
+  #rateLimiter: ServerRateLimiter | undefined;
+  #pendingPrefillTokens = 0;
   #downUntil = -Infinity;
   #backoff = 0;
-  /** Entries that alone could not connect, and until when they are not sent here. */
+  /** Entries that failed to connect, and until when they are not sent here. */
   readonly #unreachableFrom = new Map<string, number>();
 
   constructor(record: ServerRecord) {
@@ -75,172 +87,228 @@
     return this.#runs.size;
   }
 
-  /** Prompt tokens that it may have to read at a time. */
-  get readingLimit(): number {
-    return this.#reading.tokens;
+  /** Maximum of pending prefill, in prompt tokens. */
+  get prefillLimit(): number {
+    return this.#prefillLimit.tokens;
   }
 
-  /** Whether a further request may run. */
-  hasPlace(bounds: RoomBounds, now: number): boolean {
-    if (!this.#keepsPace(bounds, now)) return false;
-    return this.#runs.size < this.#largest(bounds.parts.room);
+  /** True if the server can run another request. */
+  hasFreeSlot(bounds: UsageBounds, now: number): boolean {
+    if (!this.#rateAllows(bounds, now)) return false;
+    return this.#runs.size < this.#maximumRuns(bounds.fractions.room);
   }
 
   /**
-   * Requests that it runs at once; fewer than its slots where its limit starts
-   * fewer within `runTime`, the milliseconds of a request.
+   * Slots that the group can use. They are fewer than its fraction of the server's
+   * slots if the rate limit lets fewer requests start within `runTime`, the mean
+   * time of a request in milliseconds.
    */
-  places({ parts, limit }: RoomBounds, runTime: number): number {
-    const places = this.record.slots * parts.room;
-    if (limit === undefined) return places;
-    const started = pacedRate(limit.perSecond, parts.quota) * runTime / 1000;
-    return Math.min(places, started);
+  usableSlots(
+    { fractions, limit }: UsageBounds,
+    runTime: number,
+  ): number {
+    const slots = this.record.slots * fractions.room;
+    if (limit === undefined) return slots;
+    const started = allowedRate(limit.perSecond, fractions.quota) * runTime /
+      1000;
+    return Math.min(slots, started);
   }
 
   /**
-   * Whether the server may be given the ask. `largestLimit`: the largest reading
-   * limit of the service's servers.
+   * True if the request may be sent to this server. `largestPrefillLimit` is the
+   * largest of all servers of the service.
    */
   admits(
-    ask: GrantRequest,
-    view: { paces: ServicePaces; largestLimit: number },
+    request: GrantRequest,
+    snapshot: {
+      latencyRatios: ServiceLatencyRatios;
+      largestPrefillLimit: number;
+    },
     now: number,
   ): boolean {
-    const { paces, largestLimit } = view;
-    if (!this.#reachable(ask.entry, now)) return false;
-    const { cost } = ask;
+    const { latencyRatios, largestPrefillLimit } = snapshot;
+    if (!this.#isReachableFrom(request.entry, now)) return false;
+    const { cost } = request;
     if (cost.promptTokens === 0) return true;
-    if (!this.#mayRead(cost.promptTokens, largestLimit)) return false;
-    const rest = this.#rest.ratio(now, paces.rest) * nominalRest(cost);
-    const slow = this.#rest.ratio(now, paces.rest) > paces.rest;
-    if (slow && rest > LONGEST_RUN_PART * (ask.deadline - now)) return false;
-    if (this.#unreadTokens === 0) return true;
-    const unread = nominalFirst(cost, this.#unreadTokens) -
-      nominalFirst({ promptTokens: 1, outputTokens: 0 });
-    return this.#first.ratio(now, paces.first) * unread < UNREAD_TIME;
+    if (!this.#admitsPrefill(cost.promptTokens, largestPrefillLimit)) {
+      return false;
+    }
+    const decodeTime = this.#decodeRatio.value(now, latencyRatios.decode) *
+      nominalDecodeTime(cost);
+    const isSlow = this.#decodeRatio.value(now, latencyRatios.decode) >
+      latencyRatios.decode;
+    if (
+      isSlow && decodeTime > MAXIMUM_RUN_FRACTION * (request.deadline - now)
+    ) return false;
+    if (this.#pendingPrefillTokens === 0) return true;
+    const prefillTime =
+      nominalFirstTokenTime(cost, this.#pendingPrefillTokens) -
+      nominalFirstTokenTime({ promptTokens: 1, outputTokens: 0 });
+    return this.#firstTokenRatio.value(now, latencyRatios.firstToken) *
+        prefillTime < MAXIMUM_PENDING_PREFILL;
   }
 
-  /** Expected milliseconds to the first answer. */
-  expectedFirst(cost: Cost, paces: ServicePaces, now: number): number {
-    const known = this.#first.known;
-    const ratio = this.#first.ratio(now, paces.first) *
-      (known ? 1 : UNTRIED_PART);
-    const filled = this.#runs.size / Math.max(1, this.record.slots);
-    return ratio * nominalFirst(cost, this.#unreadTokens) * (1 + filled);
+  /** Expected milliseconds to the first token. */
+  expectedFirstTokenTime(
+    cost: Cost,
+    latencyRatios: ServiceLatencyRatios,
+    now: number,
+  ): number {
+    const isKnown = this.#firstTokenRatio.isKnown;
+    const ratio = this.#firstTokenRatio.value(now, latencyRatios.firstToken) *
+      (isKnown ? 1 : UNKNOWN_SERVER_RATIO);
+    const utilisation = this.#runs.size / Math.max(1, this.record.slots);
+    return ratio * nominalFirstTokenTime(cost, this.#pendingPrefillTokens) *
+      (1 + utilisation);
   }
 
   /** Expected milliseconds from the first token to the last. */
-  expectedRest(cost: Cost, paces: ServicePaces, now: number): number {
-    return this.#rest.ratio(now, paces.rest) * nominalRest(cost);
+  expectedDecodeTime(
+    cost: Cost,
+    latencyRatios: ServiceLatencyRatios,
+    now: number,
+  ): number {
+    return this.#decodeRatio.value(now, latencyRatios.decode) *
+      nominalDecodeTime(cost);
   }
 
-  started(ask: GrantRequest): void {
-    const { entry, cost } = ask;
-    const unread = cost.promptTokens > 0;
-    if (unread) this.#unreadTokens += cost.promptTokens;
-    this.#runs.set(ask.id, { entry, cost, unread, mostUnread: 0 });
+  recordStart(request: GrantRequest): void {
+    const { entry, cost } = request;
+    const inPrefill = cost.promptTokens > 0;
+    if (inPrefill) this.#pendingPrefillTokens += cost.promptTokens;
+    this.#runs.set(request.id, {
+      entry,
+      cost,
+      inPrefill,
+      maximumPendingPrefill: 0,
+    });
     for (const run of this.#runs.values()) {
-      run.mostUnread = Math.max(run.mostUnread, this.#unreadTokens);
+      run.maximumPendingPrefill = Math.max(
+        run.maximumPendingPrefill,
+        this.#pendingPrefillTokens,
+      );
     }
   }
 
-  /** Counts a request that is sent from here under the server's limit. */
-  countSend(now: number): void {
-    this.#pace?.take(now);
+  /** Counts a request, granted here, against the server's rate limit. */
+  countAgainstLimit(now: number): void {
+    this.#rateLimiter?.take(now);
   }
 
-  /** A request that was counted did not reach the server. */
-  uncountSend(): void {
-    this.#pace?.giveBack();
+  /** Takes back the count of a request that did not reach the server. */
+  refundLimit(): void {
+    this.#rateLimiter?.refund();
   }
 
-  /** The first answer came, `measured` milliseconds after the request was sent. */
-  firstAnswer(id: string, measured: number, now: number): Cost | undefined {
+  /**
+   * Records that the response started `latency` milliseconds after sending.
+   * Returns the cost of the request, if its run is known.
+   */
+  recordResponseStart(
+    id: string,
+    latency: number,
+    now: number,
+  ): Cost | undefined {
     const run = this.#runs.get(id);
     this.#backoff = 0;
     if (run === undefined) return undefined;
-    this.#read(run);
-    this.#first.observe(measured, nominalFirst(run.cost), now);
+    this.#endPrefill(run);
+    this.#firstTokenRatio.observe(
+      latency,
+      nominalFirstTokenTime(run.cost),
+      now,
+    );
     return run.cost;
   }
 
-  /** All after the first token of an answer came. */
-  restAnswered(id: string, pace: StreamTiming, now: number): void {
-    const { tokens, measured, pausePart } = pace;
+  /** Records how fast a response came after its first token. */
+  recordStreamTiming(id: string, timing: StreamTiming, now: number): void {
+    const { tokens, measured, pausePart } = timing;
     const cost = { promptTokens: 1, outputTokens: tokens };
-    this.#rest.observe(measured, nominalRest(cost), now);
+    this.#decodeRatio.observe(measured, nominalDecodeTime(cost), now);
     const run = this.#runs.get(id);
     if (run !== undefined) {
-      this.#reading.observe(pausePart, run.mostUnread, now);
+      this.#prefillLimit.observe(pausePart, run.maximumPendingPrefill, now);
     }
   }
 
-  ended(id: string): boolean {
+  removeRun(id: string): boolean {
     const run = this.#runs.get(id);
     if (run === undefined) return false;
-    this.#read(run);
+    this.#endPrefill(run);
     return this.#runs.delete(id);
   }
 
-  /** Forgets what an entry ran, whose connections ended with it. */
-  forgetEntry(entry: string): void {
+  /** Removes the runs of an entry, whose connections to the server have ended. */
+  removeEntry(entry: string): void {
     for (const [id, run] of this.#runs) {
-      if (run.entry === entry) this.ended(id);
+      if (run.entry === entry) this.removeRun(id);
     }
   }
 
   /**
-   * No process listens, or another server's does. Without this a crashed server
-   * looks idle, and draws every request to itself.
+   * Stops sending requests for the backoff time, because nothing listens at the
+   * address or another server does. Otherwise a crashed server would look idle and
+   * attract all requests.
    */
-  notThere(now: number): void {
+  markDown(now: number): void {
     this.#backoff = this.#backoff === 0
       ? FIRST_BACKOFF
-      : Math.min(LONGEST_BACKOFF, this.#backoff * 2);
+      : Math.min(MAXIMUM_BACKOFF, this.#backoff * 2);
     this.#downUntil = now + this.#backoff;
   }
 
-  /** An entry got no answer to a connect: the path, or the server, is cut. */
-  silentTo(entry: string, now: number): void {
+  /**
+   * Records that a connection attempt of an entry timed out: either the path from
+   * that entry is broken, or the server is. The server counts as down if several
+   * entries fail to reach it.
+   */
+  markUnreachableFrom(entry: string, now: number): void {
     for (const [other, until] of this.#unreachableFrom) {
       if (until <= now) this.#unreachableFrom.delete(other);
     }
-    this.#unreachableFrom.set(entry, now + LONGEST_BACKOFF);
-    if (this.#unreachableFrom.size > 1) this.notThere(now);
+    this.#unreachableFrom.set(entry, now + MAXIMUM_BACKOFF);
+    if (this.#unreachableFrom.size > 1) this.markDown(now);
   }
 
-  #keepsPace({ parts, limit }: RoomBounds, now: number): boolean {
+  #rateAllows({ fractions, limit }: UsageBounds, now: number): boolean {
     if (limit === undefined) {
-      this.#pace = undefined;
+      this.#rateLimiter = undefined;
       return true;
     }
-    this.#pace ??= new LimitedPace(now);
-    this.#pace.configure(limit.perSecond, parts.quota, now);
-    return this.#pace.allows(now);
+    this.#rateLimiter ??= new ServerRateLimiter(now);
+    this.#rateLimiter.configure(limit.perSecond, fractions.quota, now);
+    return this.#rateLimiter.allows(now);
   }
 
-  /** Prompts beyond every server's limit go to one that can take most. */
-  #mayRead(tokens: number, largestLimit: number): boolean {
-    if (this.#unreadTokens + tokens <= this.#reading.tokens) return true;
-    return this.#unreadTokens === 0 && this.#reading.tokens >= largestLimit;
+  /**
+   * A prompt that is larger than every server's limit is admitted by a server with
+   * the largest limit, while no other prefill is pending there.
+   */
+  #admitsPrefill(tokens: number, largestPrefillLimit: number): boolean {
+    if (this.#pendingPrefillTokens + tokens <= this.#prefillLimit.tokens) {
+      return true;
+    }
+    return this.#pendingPrefillTokens === 0 &&
+      this.#prefillLimit.tokens >= largestPrefillLimit;
   }
 
-  #reachable(entry: string, now: number): boolean {
+  #isReachableFrom(entry: string, now: number): boolean {
     if (now < this.#downUntil) return false;
     return now >= (this.#unreachableFrom.get(entry) ?? -Infinity);
   }
 
   /**
-   * A server that comes back from a failed connect gets one request first: it may
-   * refuse again, and each refusal costs its caller a round trip.
+   * After a failed connection attempt a server is sent a single request first: it
+   * may refuse again, and each refusal costs its caller a round trip.
    */
-  #largest(part: number): number {
-    return this.#backoff > 0 ? 1 : this.record.slots * part;
+  #maximumRuns(fraction: number): number {
+    return this.#backoff > 0 ? 1 : this.record.slots * fraction;
   }
 
-  #read(run: Run): void {
-    if (!run.unread) return;
-    run.unread = false;
-    this.#unreadTokens -= run.cost.promptTokens;
+  #endPrefill(run: Run): void {
+    if (!run.inPrefill) return;
+    run.inPrefill = false;
+    this.#pendingPrefillTokens -= run.cost.promptTokens;
   }
 }
--- a/packages/decisions/src/dispatch/prefill_limit.ts
+++ b/packages/decisions/src/dispatch/prefill_limit.ts
@@ -1,59 +1,76 @@
 /**
- * How many prompt tokens a server may be given to read at a time.
+ * Limits the prompt tokens of pending prefill at a server.
  *
- * Engines read prompts in between the tokens of all answers beside them, and
- * differ widely in speed: what a fast one reads without anybody noticing stops
- * every answer of a slow one. The pauses tell what a server can take, so the bound
- * is learned from them, and a slow server is left with short prompts.
+ * Engines interleave prefill with the decoding of all other responses, and differ
+ * widely in speed: prefill that is not noticeable at a fast engine stalls every
+ * response of a slow one. The limit is learned from the pauses in responses, so
+ * that a slow server is sent short prompts only.
  * @module
  */
 
-/** Tokens before anything is learned: six chunks of 2,048, an event's steps. */
-const FIRST_LIMIT = 12_000;
-/** Never less: one chunk, or nothing could show that a server has recovered. */
-const LEAST_LIMIT = 2000;
-/** Never more: the largest prompts have 55,000 tokens. */
-const LARGEST_LIMIT = 60_000;
-/** Part of the accepted pause above which too much was read. */
-const LONGEST_PART = 0.8;
-/** Below the amount that was too much, by this part. */
-const LOWERED_PART = 0.8;
-/** One answer lowers the limit to this part at most: its pause may have had another cause. */
-const STEEPEST_PART = 0.7;
-/** Raised by this part for an answer in time at a server that read nearly the limit. */
-const RAISED_PART = 1.04;
-const NEARLY_PART = 0.6;
-/** Milliseconds between two lowerings: answers that paused together end together. */
-const LOWERED_EVERY = 200;
+/**
+ * Prompt tokens before the first observation: six prefill chunks of 2,048 tokens,
+ * one for each engine step between two events of a response.
+ */
+const INITIAL_LIMIT = 12_000;
+/**
+ * Prompt tokens of about one prefill chunk. With a lower limit no response could show
+ * that a server has recovered.
+ */
+const MINIMUM_LIMIT = 2000;
+/** In prompt tokens; the largest prompts have 55,000. */
+const MAXIMUM_LIMIT = 60_000;
+/** Fraction of the accepted pause above which the pending prefill was too much. */
+const MAXIMUM_PAUSE_FRACTION = 0.8;
+/** The limit is lowered to this fraction of the amount that was too much. */
+const LOWERED_FRACTION = 0.8;
+/**
+ * Smallest factor by which one response lowers the limit, since its pause may have
+ * had another cause.
+ */
+const STRONGEST_REDUCTION = 0.7;
+/**
+ * Factor by which a response without long pauses raises the limit, if the pending
+ * prefill was near the limit.
+ */
+const RAISE_FACTOR = 1.04;
+/** Fraction of the limit from which on pending prefill counts as near it. */
+const NEAR_LIMIT_FRACTION = 0.6;
+/**
+ * Minimum milliseconds between two reductions, because responses that paused
+ * together end together.
+ */
+const REDUCTION_INTERVAL = 200;
 
-/** One server's limit; see the module. */
-export class ReadingLimit {
-  #limit = FIRST_LIMIT;
+/** The prefill limit of one server. */
+export class PrefillLimit {
+  #limit = INITIAL_LIMIT;
   #loweredAt = -Infinity;
 
-  /** In prompt tokens. */
+  /** The limit in prompt tokens. */
   get tokens(): number {
     return this.#limit;
   }
 
   /**
-   * An answer ended. `pausePart`: its longest pause over what its caller accepts;
-   * `reading`: most tokens that its server had to read at a time meanwhile.
+   * Updates the limit after a response. `pausePart` is its longest pause as a
+   * fraction of the pause that its caller accepts, `pendingPrefill` the maximum of
+   * pending prompt tokens at its server meanwhile.
    */
-  observe(pausePart: number, reading: number, now: number): void {
-    if (pausePart > LONGEST_PART) this.#lower(reading, now);
-    else if (reading >= this.#limit * NEARLY_PART) this.#raise();
+  observe(pausePart: number, pendingPrefill: number, now: number): void {
+    if (pausePart > MAXIMUM_PAUSE_FRACTION) this.#lower(pendingPrefill, now);
+    else if (pendingPrefill >= this.#limit * NEAR_LIMIT_FRACTION) this.#raise();
   }
 
-  #lower(reading: number, now: number): void {
-    const target = Math.max(LEAST_LIMIT, reading * LOWERED_PART);
+  #lower(pendingPrefill: number, now: number): void {
+    const target = Math.max(MINIMUM_LIMIT, pendingPrefill * LOWERED_FRACTION);
     if (target >= this.#limit) return;
-    if (now - this.#loweredAt < LOWERED_EVERY) return;
+    if (now - this.#loweredAt < REDUCTION_INTERVAL) return;
     this.#loweredAt = now;
-    this.#limit = Math.max(target, this.#limit * STEEPEST_PART);
+    this.#limit = Math.max(target, this.#limit * STRONGEST_REDUCTION);
   }
 
   #raise(): void {
-    this.#limit = Math.min(LARGEST_LIMIT, this.#limit * RAISED_PART);
+    this.#limit = Math.min(MAXIMUM_LIMIT, this.#limit * RAISE_FACTOR);
   }
 }
--- a/packages/decisions/src/dispatch/priority_key.ts
+++ b/packages/decisions/src/dispatch/priority_key.ts
@@ -1,50 +1,55 @@
 /**
- * How much is gained by serving an ask, for the time that it takes up a place.
+ * Orders waiting requests by the value of a response per time that it occupies a
+ * slot.
  *
- * In a burst places are short, and answers differ widely in how long they hold
- * one: order of arrival spends most places on the few longest answers. A tier is
- * worth a fixed factor more than the next, so a long answer of a high tier may
- * wait behind short ones of the next. A late answer is worth a part of one that
- * can still be on time.
+ * In a burst slots are scarce, and responses differ widely in how long they
+ * occupy one: in order of arrival most slot time would go to the few longest
+ * responses. Each tier is worth a fixed factor more than the next one, so a long
+ * response of a high tier may wait behind short ones of the next tier. A response
+ * that misses its latency goal has a fraction of the value of a timely one.
  * @module
  */
-import type { AskStanding, GrantRequest } from "./grant_request.ts";
-import { nominalUse } from "./latency_ratio.ts";
+import type { GrantRequest, RequestStanding } from "./grant_request.ts";
+import { nominalSlotTime } from "./latency_ratio.ts";
 
 /**
- * Times more that a tier's answer is worth than one of the next tier: operators
- * state only the order.
+ * Factor by which a response is worth more than one of the next lower tier.
+ * Operators state only the order of the tiers.
  */
 const TIER_FACTOR = 25;
-/** The same between routes of one tier. */
+/** The same factor between routes of one tier, for each step of their rank. */
 const ROUTE_FACTOR = 5;
-/** What an answer is worth that comes too late, beside one on time. */
-const LATE_PART = 0.02;
+/** Value of a late response as a fraction of a timely one's. */
+const LATE_VALUE = 0.02;
 /**
- * The same for a caller that was refused before and has come back as told: a
- * second refusal ends its tries.
+ * Value of a response to a retrying caller as a fraction of a timely one's. It is
+ * higher than that of other late responses, as a second refusal is final.
+ */
+const RETRY_VALUE = 0.4;
+/**
+ * Weight of a millisecond of arrival time in the key: equal requests are served first
+ * come, first served.
  */
-const RETURNED_PART = 0.4;
-/** Weight of arrival in the order of equal asks: first come, first served. */
 const ARRIVAL_WEIGHT = 1e-6;
 
 /**
- * Sorts asks: the smallest is served first. `value`: of the answer, beside the
- * others of its tier.
+ * Returns the sort key of a request; the smallest key is served first. `value` is
+ * the value of the response relative to others of its tier and route.
  */
-export function askKey(
-  ask: GrantRequest,
-  standing: AskStanding,
+export function priorityKey(
+  request: GrantRequest,
+  standing: RequestStanding,
   value: number,
 ): number {
-  const part = PARTS[standing] * value;
-  const rank = TIER_FACTOR ** ask.tierRank * ROUTE_FACTOR ** ask.routeRank;
-  const key = nominalUse(ask.cost) * rank / part;
-  return key + ask.arrived * ARRIVAL_WEIGHT;
+  const standingValue = STANDING_VALUES[standing] * value;
+  const rank = TIER_FACTOR ** request.tierRank *
+    ROUTE_FACTOR ** request.routeRank;
+  const key = nominalSlotTime(request.cost) * rank / standingValue;
+  return key + request.arrived * ARRIVAL_WEIGHT;
 }
 
-const PARTS: Record<AskStanding, number> = {
+const STANDING_VALUES: Record<RequestStanding, number> = {
   timely: 1,
-  returned: RETURNED_PART,
-  late: LATE_PART,
+  returned: RETRY_VALUE,
+  late: LATE_VALUE,
 };
--- a/packages/decisions/src/dispatch/request_queue.ts
+++ b/packages/decisions/src/dispatch/request_queue.ts
@@ -1,109 +1,115 @@
-/** Asks that wait, in the order of {@link askKey}. @module */
+/** Queue of waiting requests, ordered by {@link priorityKey}. @module */
 import { IndexedHeap, OUTSIDE_HEAP } from "../queueing/indexed_heap.ts";
 import type { HeapItem } from "../queueing/indexed_heap.ts";
-import type { AskStanding, GrantRequest } from "./grant_request.ts";
-import { askKey } from "./priority_key.ts";
-import type { SizedKind } from "./size_fairness.ts";
+import type { GrantRequest, RequestStanding } from "./grant_request.ts";
+import { priorityKey } from "./priority_key.ts";
+import type { RequestClass } from "./size_fairness.ts";
 
-/** One waiting ask; `key` is its place in the order. */
-export class WaitingAsk implements HeapItem {
-  readonly ask: GrantRequest;
-  /** Instant after which it can't be on time, or is of no use any more. */
-  changesAt: number;
-  readonly standing: AskStanding;
-  /** Of the answer, beside the others of its tier. */
+/** A waiting request; `key` determines its position in the queue. */
+export class QueuedRequest implements HeapItem {
+  readonly request: GrantRequest;
+  /** Time at which the request can no longer be timely, or expires. */
+  standingEndsAt: number;
+  readonly standing: RequestStanding;
+  /** Value of the response relative to others of its tier and route. */
   readonly value: number;
-  readonly sizedKind: SizedKind;
+  readonly requestClass: RequestClass;
   key: number;
   heapIndex = OUTSIDE_HEAP;
 
   constructor(
-    ask: GrantRequest,
-    place: {
-      standing: AskStanding;
-      changesAt: number;
+    request: GrantRequest,
+    options: {
+      standing: RequestStanding;
+      standingEndsAt: number;
       value: number;
-      sizedKind: SizedKind;
+      requestClass: RequestClass;
     },
   ) {
-    this.ask = ask;
-    this.standing = place.standing;
-    this.changesAt = place.changesAt;
-    this.value = place.value;
-    this.sizedKind = place.sizedKind;
-    this.key = askKey(ask, place.standing, place.value);
+    this.request = request;
+    this.standing = options.standing;
+    this.standingEndsAt = options.standingEndsAt;
+    this.value = options.value;
+    this.requestClass = options.requestClass;
+    this.key = priorityKey(request, options.standing, options.value);
   }
 }
 
-/** What becomes of an ask that is looked at. */
-export type Look = "taken" | "passed_over" | "stop";
+/** What a visitor decides on a request: remove it, leave it, or stop there. */
+export type VisitResult = "taken" | "passed_over" | "stop";
 
-/** Weight of the order of arrival among asks of one millisecond. */
+/** Weight of the insertion order among requests of the same millisecond. */
 const SEQUENCE_WEIGHT = 1e-9;
 
-/** See the module. */
-export class AskQueue {
-  readonly #heap = new IndexedHeap<WaitingAsk>();
-  readonly #byId = new Map<string, WaitingAsk>();
+/** Priority queue with access by request id. */
+export class RequestQueue {
+  readonly #heap = new IndexedHeap<QueuedRequest>();
+  readonly #byId = new Map<string, QueuedRequest>();
   #pushed = 0;
-  #changesAt = Infinity;
+  #nextStandingEnd = Infinity;
 
-  /** Instant before which no standing ends. */
-  get changesAt(): number {
-    return this.#changesAt;
+  /** Time before which no request's standing ends. */
+  get nextStandingEnd(): number {
+    return this.#nextStandingEnd;
   }
 
   get size(): number {
     return this.#byId.size;
   }
 
-  push(waiting: WaitingAsk): void {
-    waiting.key += ++this.#pushed * SEQUENCE_WEIGHT;
-    this.#byId.set(waiting.ask.id, waiting);
-    this.#heap.push(waiting);
-    this.#changesAt = Math.min(this.#changesAt, waiting.changesAt);
+  push(queued: QueuedRequest): void {
+    queued.key += ++this.#pushed * SEQUENCE_WEIGHT;
+    this.#byId.set(queued.request.id, queued);
+    this.#heap.push(queued);
+    this.#nextStandingEnd = Math.min(
+      this.#nextStandingEnd,
+      queued.standingEndsAt,
+    );
   }
 
-  remove(id: string): WaitingAsk | undefined {
-    const waiting = this.#byId.get(id);
-    if (waiting === undefined) return undefined;
+  remove(id: string): QueuedRequest | undefined {
+    const queued = this.#byId.get(id);
+    if (queued === undefined) return undefined;
     this.#byId.delete(id);
-    this.#heap.remove(waiting);
-    return waiting;
+    this.#heap.remove(queued);
+    return queued;
   }
 
   /**
-   * Looks at the asks in order until `look` says to stop, and removes those that
-   * it takes. Those that find no room are passed over, so that a place that fits
-   * only others is not left idle.
+   * Passes the requests in order to `visitor` until it returns `stop`, and removes
+   * those that it takes. Requests for which no server is available are passed
+   * over, so that a slot that only suits a later request is not left idle.
    */
-  sweep(look: (waiting: WaitingAsk) => Look): void {
-    const passed: WaitingAsk[] = [];
+  visit(visitor: (queued: QueuedRequest) => VisitResult): void {
+    const passedOver: QueuedRequest[] = [];
     for (;;) {
       const head = this.#heap.peek();
       if (head === undefined) break;
-      const result = look(head);
+      const result = visitor(head);
       if (result === "stop") break;
       this.#heap.remove(head);
-      if (result === "taken") this.#byId.delete(head.ask.id);
-      else passed.push(head);
+      if (result === "taken") this.#byId.delete(head.request.id);
+      else passedOver.push(head);
     }
-    for (const waiting of passed) this.#heap.push(waiting);
+    for (const queued of passedOver) this.#heap.push(queued);
   }
 
-  /** Removes those whose standing ends by `now`. */
-  takeDue(now: number): WaitingAsk[] {
-    const due: WaitingAsk[] = [];
-    this.#changesAt = Infinity;
-    for (const waiting of this.#byId.values()) {
-      if (waiting.changesAt <= now) due.push(waiting);
-      else this.#changesAt = Math.min(this.#changesAt, waiting.changesAt);
+  /** Removes and returns the requests whose standing has ended. */
+  removeDue(now: number): QueuedRequest[] {
+    const due: QueuedRequest[] = [];
+    this.#nextStandingEnd = Infinity;
+    for (const queued of this.#byId.values()) {
+      if (queued.standingEndsAt <= now) due.push(queued);
+      else {this.#nextStandingEnd = Math.min(
+          this.#nextStandingEnd,
+          queued.standingEndsAt,
+        );}
     }
-    for (const { ask } of due) this.remove(ask.id);
+    for (const { request } of due) this.remove(request.id);
     return due;
   }
 
-  *[Symbol.iterator](): Generator<WaitingAsk> {
+  *[Symbol.iterator](): Generator<QueuedRequest> {
     yield* this.#byId.values();
   }
 }
--- a/packages/decisions/src/dispatch/response_value.ts
+++ b/packages/decisions/src/dispatch/response_value.ts
@@ -1,46 +1,54 @@
 /**
- * What one answer is worth beside others of its tier, by its size.
+ * Estimates the value of a response from its size, relative to other responses of
+ * its tier and route.
  *
- * In a burst not all of a tier can be served. A large answer is worth several
- * short ones and takes as much longer: by time alone the largest of each tier
- * would never be served then.
+ * In a burst not all requests of a tier can be served. A large response is worth
+ * several short ones and takes correspondingly longer. Ordered by time alone, the
+ * largest responses of each tier would never be served.
  * @module
  */
 import type { Cost } from "../queueing/mod.ts";
 
-/** Of an answer without any size, and for each mean size: the users' own weights. */
-const LEAST_VALUE = 0.3;
-const VALUE_PER_SIZE = 0.7;
-/** Times the mean answer, at most: likewise. */
-const LARGEST_VALUE = 4;
-/** Tokens of a prompt that count as much as one of the answer: likewise. */
+/**
+ * Value of a response of size zero, relative to one of mean size. This and the next
+ * three are weights that users give to responses.
+ */
+const MINIMUM_VALUE = 0.3;
+/** Value that a response gains for each multiple of the mean size. */
+const VALUE_PER_MEAN_SIZE = 0.7;
+/** Maximum value, as a multiple of the mean response's. */
+const MAXIMUM_VALUE = 4;
+/** Number of prompt tokens that have the value of one token of the response. */
 const PROMPT_TOKENS_PER_TOKEN = 10;
-/** Weight of the newest size in the mean: about the last hundred count. */
+/** Weight of the newest size in the mean, which covers about the last hundred. */
 const NEWEST_WEIGHT = 0.01;
-/** Sizes that are averaged evenly before that. */
+/** Number of first sizes that are averaged with equal weights. */
 const FIRST_SIZES = 1 / NEWEST_WEIGHT;
 
 type Mean = { size: number; count: number };
 
-/** Learns the mean size of each tier's answers. */
-export class AnswerValue {
+/** Learns the mean response size of each priority class (tier and route). */
+export class ResponseValue {
   readonly #means = new Map<string, Mean>();
 
-  /** 1 for an answer of the tier's mean size; takes it into the mean. */
-  observe(kind: string, cost: Cost): number {
-    const size = sizeOf(cost);
+  /**
+   * Returns the value of a response, which is 1 at the mean size of its priority
+   * class, and updates the mean.
+   */
+  observe(priorityClass: string, cost: Cost): number {
+    const size = weightedTokens(cost);
     if (size === 0) return 1;
-    const mean = this.#means.get(kind) ?? { size: 0, count: 0 };
-    this.#means.set(kind, mean);
+    const mean = this.#means.get(priorityClass) ?? { size: 0, count: 0 };
+    this.#means.set(priorityClass, mean);
     mean.count = Math.min(FIRST_SIZES, mean.count + 1);
     mean.size += (size - mean.size) / mean.count;
-    const value = LEAST_VALUE + VALUE_PER_SIZE * size / mean.size;
-    return Math.min(LARGEST_VALUE, value);
+    const value = MINIMUM_VALUE + VALUE_PER_MEAN_SIZE * size / mean.size;
+    return Math.min(MAXIMUM_VALUE, value);
   }
 }
 
-/** Tokens that the answer's value goes by; 0 for a plain call. */
-export function sizeOf(cost: Cost): number {
+/** Returns the size that a response is valued by; 0 for a plain call. */
+export function weightedTokens(cost: Cost): number {
   if (cost.promptTokens === 0) return 0;
   return cost.promptTokens + PROMPT_TOKENS_PER_TOKEN * cost.outputTokens;
 }
--- a/packages/decisions/src/dispatch/retry_after.ts
+++ b/packages/decisions/src/dispatch/retry_after.ts
@@ -1,28 +1,30 @@
-/** When a caller that is refused may come back. @module */
+/** Computes when a refused caller may retry. @module */
 import type { GrantRefusalReason, GrantRequest } from "./grant_request.ts";
 
-/** Milliseconds while there is no server. */
+/** Delay in milliseconds while the service has no server. */
 const RETRY_WITHOUT_SERVER = 300;
 /**
- * Milliseconds after a refusal for lack of room: longer than a burst, as who comes
- * back within one is refused for good. Callers wait a third of their time left at
- * most. Spread over the upper half of it, so that those refused together don't
- * return together.
+ * Maximum milliseconds after a refusal for lack of capacity. This is longer than a
+ * burst, since a caller that retries within the same burst is refused for good.
+ * Callers wait for a third of their time left at most. Jitter spreads the delay
+ * over its upper half, so that callers refused together do not retry together.
  */
-const LONGEST_RETRY = 5000;
-const LONGEST_RETRY_PART = 1 / 3;
-const RETRY_SPREAD_PART = 0.5;
+const MAXIMUM_DELAY = 5000;
+/** Maximum delay as a fraction of the time to the deadline. */
+const MAXIMUM_FRACTION_OF_TIME_LEFT = 1 / 3;
+/** Fraction of the delay that jitter takes off at most. */
+const JITTER_FRACTION = 0.5;
 
-/** Milliseconds from `now` on. */
+/** Returns the milliseconds after which a refused caller may retry. */
 export function retryAfter(
-  ask: GrantRequest,
+  request: GrantRequest,
   reason: GrantRefusalReason,
   now: number,
 ): number {
   if (reason === "no_server") return RETRY_WITHOUT_SERVER;
-  const longest = Math.min(
-    LONGEST_RETRY,
-    Math.max(0, ask.deadline - now) * LONGEST_RETRY_PART,
+  const maximum = Math.min(
+    MAXIMUM_DELAY,
+    Math.max(0, request.deadline - now) * MAXIMUM_FRACTION_OF_TIME_LEFT,
   );
-  return longest * (1 - RETRY_SPREAD_PART * ask.jitter);
+  return maximum * (1 - JITTER_FRACTION * request.jitter);
 }
--- a/packages/decisions/src/dispatch/retrying_callers.ts
+++ b/packages/decisions/src/dispatch/retrying_callers.ts
@@ -1,34 +1,34 @@
 /**
- * Recognises callers that come back after a refusal, at whichever entry.
+ * Recognises callers that retry after a refusal, at whichever entry.
  *
- * To its caller a request that was refused once is late from then on, and a
- * second refusal is the end. Taken for a new one it would be served before
- * others that can still be on time, or be refused again.
+ * For its caller a request that has been refused once is late from then on, and a
+ * second refusal is final. Treated as a new request, the retry would be served
+ * before others that can still be timely, or be refused again.
  * @module
  */
 
 /** Milliseconds for which a refusal is remembered: callers' longest deadline. */
-const MEMORY = 15_000;
-/** Refusals remembered at once: some seconds of a burst. */
-const LARGEST_MEMORY = 4096;
+const RETENTION = 15_000;
+/** Maximum number of remembered refusals, which covers some seconds of a burst. */
+const CAPACITY = 4096;
 
-/** Refused requests by fingerprint, each good for one return. */
-export class ReturningCallers {
-  readonly #refused = new Map<string, number>();
+/** Refused requests by fingerprint; each refusal is matched with one retry. */
+export class RetryingCallers {
+  readonly #refusedAt = new Map<string, number>();
 
-  refused(fingerprint: string, now: number): void {
-    this.#refused.delete(fingerprint);
-    this.#refused.set(fingerprint, now);
-    if (this.#refused.size <= LARGEST_MEMORY) return;
-    const [oldest] = this.#refused.keys();
-    if (oldest !== undefined) this.#refused.delete(oldest);
+  recordRefusal(fingerprint: string, now: number): void {
+    this.#refusedAt.delete(fingerprint);
+    this.#refusedAt.set(fingerprint, now);
+    if (this.#refusedAt.size <= CAPACITY) return;
+    const [oldest] = this.#refusedAt.keys();
+    if (oldest !== undefined) this.#refusedAt.delete(oldest);
   }
 
-  /** True once for each refusal. */
-  returns(fingerprint: string, now: number): boolean {
-    const at = this.#refused.get(fingerprint);
-    if (at === undefined) return false;
-    this.#refused.delete(fingerprint);
-    return now - at < MEMORY;
+  /** True if the request is a retry; removes the refusal that it follows. */
+  takeRetry(fingerprint: string, now: number): boolean {
+    const refusedAt = this.#refusedAt.get(fingerprint);
+    if (refusedAt === undefined) return false;
+    this.#refusedAt.delete(fingerprint);
+    return now - refusedAt < RETENTION;
   }
 }
--- a/packages/decisions/src/dispatch/server_pool.ts
+++ b/packages/decisions/src/dispatch/server_pool.ts
@@ -1,6 +1,6 @@
 /**
- * All servers of one service: what each runs, how fast each is, which are left
- * out, and which one a request goes to.
+ * The backend servers of one service: what each one runs, how fast it is, whether
+ * it is ejected, and which one a request is sent to.
  * @module
  */
 import { incarnationOf } from "../discovery/mod.ts";
@@ -9,145 +9,155 @@
 import type { GroupFractions } from "../fleet/mod.ts";
 import { ServerLimits } from "../server_limits/mod.ts";
 import type { GrantRequest, RunOutcome } from "./grant_request.ts";
-import { nominalFirst, nominalRest, Pace } from "./latency_ratio.ts";
-import { ServerRoom } from "./pooled_server.ts";
+import {
+  LatencyRatio,
+  nominalDecodeTime,
+  nominalFirstTokenTime,
+} from "./latency_ratio.ts";
+import { PooledServer } from "./pooled_server.ts";
 import type {
-  RoomBounds,
-  ServicePaces,
+  ServiceLatencyRatios,
   StreamTiming,
+  UsageBounds,
 } from "./pooled_server.ts";
 
 /**
- * Milliseconds that a server of another data centre must be faster by, to be
- * preferred. Bytes between data centres have a price.
+ * Milliseconds by which a server in another data centre must be faster to be
+ * preferred, since traffic between data centres is charged.
  */
-const DISTANCE_PENALTY = 60;
+const REMOTE_PENALTY = 60;
 /**
- * Part of an answer's expected time after its first token that counts in the
- * choice: a place at a fast server is free again sooner.
+ * Weight of the expected decode time in the selection of a server: a slot of a
+ * fast server is free again sooner.
  */
-const REST_WEIGHT = 0.1;
-
-/** What a choice goes by, worked out once for all that wait. */
-export type ServiceView = {
-  paces: ServicePaces;
-  /** Largest reading limit of the servers, in tokens. */
-  largestLimit: number;
-  /** Servers with a free place: under load few of many. */
-  free: Map<string, ServerRoom>;
+const DECODE_WEIGHT = 0.1;
+
+/** Input to the selection of servers, computed once per pass over the queue. */
+export type PoolSnapshot = {
+  latencyRatios: ServiceLatencyRatios;
+  /** Largest prefill limit of the servers, in tokens. */
+  largestPrefillLimit: number;
+  /** Servers with a free slot; under load these are few of many. */
+  free: Map<string, PooledServer>;
 };
 
-/** A granted ask and its server. */
-export type Granted = { ask: GrantRequest; server: string };
+/** A granted request and its server. */
+export type GrantedRequest = { request: GrantRequest; server: string };
 
-/** Rooms by the start of the server. */
-export class ServiceRooms {
-  readonly #rooms = new Map<string, ServerRoom>();
+/** The servers of one service, by incarnation. */
+export class ServerPool {
+  readonly #servers = new Map<string, PooledServer>();
   readonly #ejection = new OutlierEjection();
-  readonly #first = new Pace();
-  readonly #rest = new Pace();
+  readonly #firstTokenRatio = new LatencyRatio();
+  readonly #decodeRatio = new LatencyRatio();
   readonly #limits: ServerLimits;
-  #parts: GroupFractions = { room: 1, quota: 1 };
+  #fractions: GroupFractions = { room: 1, quota: 1 };
 
-  /** `limits`: what servers state; nothing if absent. */
+  /** `limits` holds the rates that servers accept; no limits if absent. */
   constructor(limits = new ServerLimits()) {
     this.#limits = limits;
   }
 
   get size(): number {
-    return this.#rooms.size;
+    return this.#servers.size;
   }
 
-  /** Requests that all servers run at once. */
-  get places(): number {
-    let places = 0;
-    for (const room of this.#rooms.values()) places += room.record.slots;
-    return places;
+  /** Slots of all servers together. */
+  get slots(): number {
+    let slots = 0;
+    for (const server of this.#servers.values()) slots += server.record.slots;
+    return slots;
   }
 
-  /** Places where nothing runs, of servers that may be unreachable too. */
-  get freePlaces(): number {
+  /** Free slots, including those of servers that may be unreachable. */
+  get freeSlots(): number {
     let running = 0;
-    for (const room of this.#rooms.values()) running += room.running;
-    return Math.max(0, this.places - running);
+    for (const server of this.#servers.values()) running += server.running;
+    return Math.max(0, this.slots - running);
   }
 
   /**
-   * Those places that this group of entries can use. `runTime`: milliseconds of a
-   * request.
+   * Slots that this group of entries can use. `runTime` is the mean time of a
+   * request in milliseconds.
    */
-  ownPlaces(runTime: number): number {
-    let places = 0;
-    for (const [name, room] of this.#rooms) {
-      places += room.places(this.#bounds(name), runTime);
+  usableSlots(runTime: number): number {
+    let slots = 0;
+    for (const [name, server] of this.#servers) {
+      slots += server.usableSlots(this.#bounds(name), runTime);
     }
-    return places;
+    return slots;
   }
 
   has(server: string): boolean {
-    return this.#rooms.has(server);
+    return this.#servers.has(server);
   }
 
-  /** True when a server could run one more. */
-  hasPlace(now: number): boolean {
-    for (const [name, room] of this.#rooms) {
-      if (room.hasPlace(this.#bounds(name), now)) return true;
+  /** True if any server can run another request. */
+  hasFreeSlot(now: number): boolean {
+    for (const [name, server] of this.#servers) {
+      if (server.hasFreeSlot(this.#bounds(name), now)) return true;
     }
     return false;
   }
 
-  /** Takes over which servers may be sent work. */
+  /** Replaces the set of servers that may be sent requests. */
   setServers(records: readonly ServerRecord[]): void {
     const keep = new Set(records.map(incarnationOf));
-    for (const name of [...this.#rooms.keys()]) {
+    for (const name of [...this.#servers.keys()]) {
       if (keep.has(name)) continue;
-      this.#rooms.delete(name);
+      this.#servers.delete(name);
       this.#ejection.remove(name);
     }
     for (const record of records) {
       const name = incarnationOf(record);
-      const room = this.#rooms.get(name);
-      if (room !== undefined) {
-        room.record = record;
+      const server = this.#servers.get(name);
+      if (server !== undefined) {
+        server.record = record;
         continue;
       }
-      this.#rooms.set(name, new ServerRoom(record));
+      this.#servers.set(name, new PooledServer(record));
       this.#ejection.add(name);
     }
   }
 
-  /** The parts of each server's room and limit that this group uses. */
-  setParts(parts: GroupFractions): void {
-    this.#parts = parts;
+  /** Sets the fractions of each server's slots and rate limit that this group uses. */
+  setFractions(fractions: GroupFractions): void {
+    this.#fractions = fractions;
   }
 
-  view(now: number): ServiceView {
-    let largestLimit = 0;
-    const free = new Map<string, ServerRoom>();
-    for (const [name, room] of this.#rooms) {
-      largestLimit = Math.max(largestLimit, room.readingLimit);
-      if (room.hasPlace(this.#bounds(name), now)) free.set(name, room);
+  snapshot(now: number): PoolSnapshot {
+    let largestPrefillLimit = 0;
+    const free = new Map<string, PooledServer>();
+    for (const [name, server] of this.#servers) {
+      largestPrefillLimit = Math.max(largestPrefillLimit, server.prefillLimit);
+      if (server.hasFreeSlot(this.#bounds(name), now)) free.set(name, server);
     }
-    return { paces: this.#paces(now), largestLimit, free };
+    return {
+      latencyRatios: this.#latencyRatios(now),
+      largestPrefillLimit,
+      free,
+    };
   }
 
-  /** The server with room that is expected to be done soonest. */
-  choose(
-    ask: GrantRequest,
-    view: ServiceView,
+  /** Returns the free server that is expected to respond soonest. */
+  selectServer(
+    request: GrantRequest,
+    snapshot: PoolSnapshot,
     now: number,
   ): string | undefined {
-    const { paces } = view;
+    const { latencyRatios } = snapshot;
     let best: string | undefined;
     let bestScore = Infinity;
-    for (const [name, room] of view.free) {
-      if (ask.excludedServers.includes(name)) continue;
-      if (!room.admits(ask, view, now)) continue;
+    for (const [name, server] of snapshot.free) {
+      if (request.excludedServers.includes(name)) continue;
+      if (!server.admits(request, snapshot, now)) continue;
       if (!this.#ejection.allowed(name, now)) continue;
-      const near = room.record.dataCentre === ask.dataCentre;
-      const score = room.expectedFirst(ask.cost, paces, now) +
-        REST_WEIGHT * room.expectedRest(ask.cost, paces, now) +
-        (near ? 0 : DISTANCE_PENALTY);
+      const isLocal = server.record.dataCentre === request.dataCentre;
+      const score =
+        server.expectedFirstTokenTime(request.cost, latencyRatios, now) +
+        DECODE_WEIGHT *
+          server.expectedDecodeTime(request.cost, latencyRatios, now) +
+        (isLocal ? 0 : REMOTE_PENALTY);
       if (score < bestScore) {
         bestScore = score;
         best = name;
@@ -156,98 +166,115 @@
     return best;
   }
 
-  started({ ask, server }: Granted, view: ServiceView, now: number): void {
-    const room = this.#rooms.get(server);
-    room?.started(ask);
-    room?.countSend(now);
-    const bounds = this.#bounds(server);
-    if (!room?.hasPlace(bounds, now)) view.free.delete(server);
-    this.#ejection.recordStart(server, now);
+  recordStart(
+    { request, server: name }: GrantedRequest,
+    snapshot: PoolSnapshot,
+    now: number,
+  ): void {
+    const server = this.#servers.get(name);
+    server?.recordStart(request);
+    server?.countAgainstLimit(now);
+    const bounds = this.#bounds(name);
+    if (!server?.hasFreeSlot(bounds, now)) snapshot.free.delete(name);
+    this.#ejection.recordStart(name, now);
   }
 
-  /** A run that another entry granted; false if its server is unknown. */
-  adopted({ ask, server }: Granted): boolean {
-    const room = this.#rooms.get(server);
-    room?.started(ask);
-    return room !== undefined;
+  /** Counts a run that another entry has granted; false if its server is unknown. */
+  adopt({ request, server: name }: GrantedRequest): boolean {
+    const server = this.#servers.get(name);
+    server?.recordStart(request);
+    return server !== undefined;
   }
 
-  /** The first answer came `measured` milliseconds after the request was sent. */
-  firstAnswer({ ask, server }: Granted, measured: number, now: number): void {
-    const room = this.#rooms.get(server);
-    const cost = room?.firstAnswer(ask.id, measured, now);
+  /** Records that the response started `latency` milliseconds after sending. */
+  recordResponseStart(
+    { request, server: name }: GrantedRequest,
+    latency: number,
+    now: number,
+  ): void {
+    const server = this.#servers.get(name);
+    const cost = server?.recordResponseStart(request.id, latency, now);
     if (cost === undefined) return;
-    const nominal = nominalFirst(cost);
-    this.#first.observe(measured, nominal, now);
-    this.#ejection.recordSuccess(server, now, measured / nominal);
+    const nominal = nominalFirstTokenTime(cost);
+    this.#firstTokenRatio.observe(latency, nominal, now);
+    this.#ejection.recordSuccess(name, now, latency / nominal);
   }
 
-  /** All after the first token of an answer came; call it before `ended`. */
-  restAnswered(
-    { ask, server }: Granted,
-    pace: StreamTiming,
+  /**
+   * Records how fast a response came after its first token. Must be called before
+   * {@link ServerPool.recordEnd}.
+   */
+  recordStreamTiming(
+    { request, server }: GrantedRequest,
+    timing: StreamTiming,
     now: number,
   ): void {
-    this.#rooms.get(server)?.restAnswered(ask.id, pace, now);
-    const cost = { promptTokens: 1, outputTokens: pace.tokens };
-    this.#rest.observe(pace.measured, nominalRest(cost), now);
+    this.#servers.get(server)?.recordStreamTiming(request.id, timing, now);
+    const cost = { promptTokens: 1, outputTokens: timing.tokens };
+    this.#decodeRatio.observe(timing.measured, nominalDecodeTime(cost), now);
   }
 
-  /** The run is over, without a judgement of its server. */
-  released({ ask, server }: Granted): void {
-    this.#rooms.get(server)?.ended(ask.id);
+  /** Removes a run without any effect on the health of its server. */
+  release({ request, server }: GrantedRequest): void {
+    this.#servers.get(server)?.removeRun(request.id);
   }
 
-  /** The run is over; `end` tells of its server. */
-  ended(granted: Granted, end: RunOutcome, now: number): void {
-    const { ask, server } = granted;
-    const room = this.#rooms.get(server);
-    if (room === undefined) return;
-    room.ended(ask.id);
-    switch (end) {
+  /** Removes a run and updates the health of its server by the outcome. */
+  recordEnd(
+    granted: GrantedRequest,
+    outcome: RunOutcome,
+    now: number,
+  ): void {
+    const { request, server: name } = granted;
+    const server = this.#servers.get(name);
+    if (server === undefined) return;
+    server.removeRun(request.id);
+    switch (outcome) {
       case "connection_refused":
-        room.uncountSend();
-        room.notThere(now);
+        server.refundLimit();
+        server.markDown(now);
         return;
       case "misdirected":
-        room.notThere(now);
+        server.markDown(now);
         return;
       case "connection_timeout":
-        room.uncountSend();
-        room.silentTo(ask.entry, now);
+        server.refundLimit();
+        server.markUnreachableFrom(request.entry, now);
         return;
       case "failed":
       case "broken":
-        this.#ejection.recordFailure(server, "error", now);
+        this.#ejection.recordFailure(name, "error", now);
         return;
       default:
     }
   }
 
-  /** An entry is gone, and with it its connections to servers. */
-  forgetEntry(entry: string): void {
-    for (const room of this.#rooms.values()) room.forgetEntry(entry);
+  /** Removes all runs of an entry, which has disconnected. */
+  removeEntry(entry: string): void {
+    for (const server of this.#servers.values()) server.removeEntry(entry);
   }
 
-  /** Milliseconds to the ask's first answer at a server of middling speed. */
-  expectedFirst(ask: GrantRequest, now: number): number {
-    return this.#paces(now).first * nominalFirst(ask.cost);
+  /** Milliseconds to the first token at a server of average speed. */
+  expectedFirstTokenTime(request: GrantRequest, now: number): number {
+    return this.#latencyRatios(now).firstToken *
+      nominalFirstTokenTime(request.cost);
   }
 
-  /** Milliseconds for which the ask is expected to take a place. */
-  expectedTime(ask: GrantRequest, now: number): number {
-    const { first, rest } = this.#paces(now);
-    return first * nominalFirst(ask.cost) + rest * nominalRest(ask.cost);
+  /** Milliseconds for which the request is expected to occupy a slot. */
+  expectedSlotTime(request: GrantRequest, now: number): number {
+    const { firstToken, decode } = this.#latencyRatios(now);
+    return firstToken * nominalFirstTokenTime(request.cost) +
+      decode * nominalDecodeTime(request.cost);
   }
 
-  #bounds(server: string): RoomBounds {
-    return { parts: this.#parts, limit: this.#limits.find(server) };
+  #bounds(server: string): UsageBounds {
+    return { fractions: this.#fractions, limit: this.#limits.find(server) };
   }
 
-  #paces(now: number): ServicePaces {
+  #latencyRatios(now: number): ServiceLatencyRatios {
     return {
-      first: this.#first.ratio(now, 1),
-      rest: this.#rest.ratio(now, 1),
+      firstToken: this.#firstTokenRatio.value(now, 1),
+      decode: this.#decodeRatio.value(now, 1),
     };
   }
 }
--- a/packages/decisions/src/dispatch/service_demand.ts
+++ b/packages/decisions/src/dispatch/service_demand.ts
@@ -1,63 +1,71 @@
 /**
- * Whether a service takes in more than its places allow, and which asks are then
- * beyond its reach.
+ * Measures whether demand for a service exceeds its capacity, and for which
+ * requests no capacity is left then.
  *
- * An ask that all places will go past while its caller waits is better told so at
- * once, with the time to come back, than held until its caller leaves.
+ * If requests that go first take up all capacity while a caller waits, it is
+ * better refused at once, with a retry delay, than held until it disconnects.
  * @module
  */
 
-/** Milliseconds over which arrivals are counted: longer than a clump of them. */
-const WINDOW = 2000;
+/** Milliseconds over which arrivals are counted; longer than a cluster of them. */
+const ARRIVAL_WINDOW = 2000;
 /** Milliseconds over which grants are counted. */
-const RATE_WINDOW = 1000;
+const GRANT_WINDOW = 1000;
 
 type Arrival = { at: number; key: number; time: number };
 
-/** Grants and arrivals of the last seconds. */
-export class GrantRate {
-  #granted: number[] = [];
+/** Recent arrivals and grants of one service. */
+export class ServiceDemand {
+  #grants: number[] = [];
   #arrivals: Arrival[] = [];
 
-  granted(now: number): void {
-    this.#granted.push(now);
+  recordGrant(now: number): void {
+    this.#grants.push(now);
   }
 
-  /** `time`: milliseconds for which the ask is expected to take a place. */
-  arrived(key: number, time: number, now: number): void {
+  /** `time` is the expected slot time of the request in milliseconds. */
+  recordArrival(key: number, time: number, now: number): void {
     this.#arrivals.push({ at: now, key, time });
   }
 
-  /** Grants in a second. */
-  perSecond(now: number): number {
-    this.#granted = after(this.#granted, now - RATE_WINDOW, (at) => at);
-    return this.#granted.length;
+  /** Grants in the last second. */
+  grantsPerSecond(now: number): number {
+    this.#grants = itemsSince(this.#grants, now - GRANT_WINDOW, (at) => at);
+    return this.#grants.length;
   }
 
-  /** Milliseconds for which an ask takes a place, of those that came lately. */
-  meanTime(now: number): number {
-    this.#arrivals = after(this.#arrivals, now - WINDOW, ({ at }) => at);
+  /** Mean expected slot time of recent requests, in milliseconds. */
+  meanSlotTime(now: number): number {
+    this.#arrivals = itemsSince(
+      this.#arrivals,
+      now - ARRIVAL_WINDOW,
+      ({ at }) => at,
+    );
     let time = 0;
     for (const arrival of this.#arrivals) time += arrival.time;
     return time / Math.max(1, this.#arrivals.length);
   }
 
   /**
-   * True when what arrives and goes before `key` takes up all `places`, at the
-   * rate of the last seconds.
+   * True if requests with a smaller sort key than `key` arrive, at the recent
+   * rate, faster than `slots` can serve them.
    */
-  beyondReach(key: number, places: number, now: number): boolean {
-    this.#arrivals = after(this.#arrivals, now - WINDOW, ({ at }) => at);
+  exceedsCapacity(key: number, slots: number, now: number): boolean {
+    this.#arrivals = itemsSince(
+      this.#arrivals,
+      now - ARRIVAL_WINDOW,
+      ({ at }) => at,
+    );
     let time = 0;
     for (const arrival of this.#arrivals) {
       if (arrival.key < key) time += arrival.time;
     }
-    return time > places * WINDOW;
+    return time > slots * ARRIVAL_WINDOW;
   }
 }
 
-/** The items from the first one that is not older than `since`. */
-function after<Item>(
+/** Returns the items, in order of time, from the first one at or after `since`. */
+function itemsSince<Item>(
   items: Item[],
   since: number,
   timeOf: (item: Item) => number,
--- a/packages/decisions/src/dispatch/service_scheduler.ts
+++ b/packages/decisions/src/dispatch/service_scheduler.ts
@@ -1,12 +1,13 @@
 /**
- * The one queue in front of all backend servers of a service: who waits, who is
- * sent where, who is turned away.
+ * The single queue in front of all backend servers of a service. Decides which
+ * requests wait, which server each one is sent to, and which are refused.
  *
- * Engines know no priorities and admit in order of arrival: what is sent to one
- * waits there beyond any control. So no more is sent than it runs at once, and
- * what waits here can be ordered, sent elsewhere or refused early. The order is
- * that of `ask_value.ts`; a request is refused, and told when to come back, once
- * it can't be on time and is out of reach of that order.
+ * Engines have no priorities and admit requests in order of arrival, so a request
+ * that waits inside an engine can no longer be reordered. Therefore a server is
+ * sent no more than it runs at once. Requests that wait here can be reordered,
+ * sent to another server or refused early. They are ordered by
+ * {@link priorityKey}. A request is refused, with a retry delay, once it can no
+ * longer meet its latency goal and requests before it take up all capacity.
  * @module
  */
 import type { ServerRecord } from "../discovery/mod.ts";
@@ -14,53 +15,57 @@
 import { OrganisationQuotas } from "../quotas/mod.ts";
 import type { QuotaLeeway } from "../quotas/mod.ts";
 import { ServerLimits } from "../server_limits/mod.ts";
-import { AnswerValue } from "./response_value.ts";
+import { ResponseValue } from "./response_value.ts";
 import type {
-  AskStanding,
   GrantDecision,
   GrantRefusalReason,
   GrantRequest,
   RefusalInputs,
+  RequestStanding,
   RunOutcome,
 } from "./grant_request.ts";
-import { AskQueue, WaitingAsk } from "./request_queue.ts";
-import { GrantRate } from "./service_demand.ts";
+import { QueuedRequest, RequestQueue } from "./request_queue.ts";
+import { ServiceDemand } from "./service_demand.ts";
 import { QuotaReservations } from "./quota_reservations.ts";
 import { retryAfter } from "./retry_after.ts";
-import { ReturningCallers } from "./retrying_callers.ts";
-import { nominalUse } from "./latency_ratio.ts";
+import { RetryingCallers } from "./retrying_callers.ts";
+import { nominalSlotTime } from "./latency_ratio.ts";
 import type { StreamTiming } from "./pooled_server.ts";
-import { ServiceRooms } from "./server_pool.ts";
-import type { Granted, ServiceView } from "./server_pool.ts";
-import { SizeShares } from "./size_fairness.ts";
+import { ServerPool } from "./server_pool.ts";
+import type { GrantedRequest, PoolSnapshot } from "./server_pool.ts";
+import { SizeFairness } from "./size_fairness.ts";
 
+/** Leeway without effect, for a scheduler without quotas. */
 const NO_LEEWAY: QuotaLeeway = { window: 1000, overage: 0, slack: 0 };
 
-/** Asks that find no room in one sweep before it ends: a bound on its time. */
-const MOST_PASSED_OVER = 40;
+/**
+ * Number of requests without an available server after which a pass over the queue
+ * ends, to bound its duration.
+ */
+const MAXIMUM_PASSED_OVER = 40;
 
-/** Grants servers of one service. Verdicts are drawn by `verdicts`. */
+/** Grants the servers of one service; decisions are made by {@link ServiceScheduler.decide}. */
 export class ServiceScheduler {
-  readonly #rooms: ServiceRooms;
-  readonly #rate = new GrantRate();
-  readonly #value = new AnswerValue();
-  readonly #sizes = new SizeShares();
-  readonly #queue = new AskQueue();
-  readonly #granted = new Map<string, Granted>();
-  readonly #returning = new ReturningCallers();
+  readonly #pool: ServerPool;
+  readonly #demand = new ServiceDemand();
+  readonly #responseValue = new ResponseValue();
+  readonly #fairness = new SizeFairness();
+  readonly #queue = new RequestQueue();
+  readonly #granted = new Map<string, GrantedRequest>();
+  readonly #retryingCallers = new RetryingCallers();
   readonly #quotas: OrganisationQuotas;
   readonly #quotaReservations: QuotaReservations;
 
   /**
-   * `quotas` are charged for what is granted, and `limits` are kept to that servers
-   * state; none if absent.
+   * Grants are charged to `quotas`, and `limits` holds the rates that servers
+   * accept; without them nothing is limited.
    */
   constructor(
     quotas = new OrganisationQuotas(NO_LEEWAY),
     limits = new ServerLimits(),
   ) {
     this.#quotas = quotas;
-    this.#rooms = new ServiceRooms(limits);
+    this.#pool = new ServerPool(limits);
     this.#quotaReservations = new QuotaReservations(quotas);
   }
 
@@ -72,218 +77,251 @@
     return this.#granted.size;
   }
 
-  /** Requests that all servers run at once. */
-  get places(): number {
-    return this.#rooms.places;
+  /** Slots of all servers together. */
+  get slots(): number {
+    return this.#pool.slots;
   }
 
   /** Grants in the last second. */
-  granted(now: number): number {
-    return this.#rate.perSecond(now);
+  grantsPerSecond(now: number): number {
+    return this.#demand.grantsPerSecond(now);
   }
 
-  /** Takes over which servers may be sent work. */
+  /** Replaces the set of servers that may be sent requests. */
   setServers(records: readonly ServerRecord[]): void {
-    this.#rooms.setServers(records);
+    this.#pool.setServers(records);
   }
 
-  /** See {@link ServiceRooms.setParts}. */
-  setParts(parts: GroupFractions): void {
-    this.#rooms.setParts(parts);
+  /** See {@link ServerPool.setFractions}. */
+  setFractions(fractions: GroupFractions): void {
+    this.#pool.setFractions(fractions);
   }
 
-  /** Queues an ask, or turns it away at once. */
-  submit(ask: GrantRequest, now: number): GrantDecision | undefined {
-    // Held until its end, a request that every server was tried for would get
-    // the same answer, only later.
+  /** Queues a request, or refuses it at once. */
+  submit(request: GrantRequest, now: number): GrantDecision | undefined {
+    // A request for which every server has been tried would be refused in the
+    // end anyway, only later.
     const tried =
-      ask.excludedServers.filter((name) => this.#rooms.has(name)).length;
-    if (tried >= this.#rooms.size) {
-      return this.#refusal(ask, "no_server", now);
+      request.excludedServers.filter((name) => this.#pool.has(name)).length;
+    if (tried >= this.#pool.size) {
+      return this.#refusal(request, "no_server", now);
     }
-    const waiting = this.#waitingOf(ask, now);
-    const time = this.#rooms.expectedTime(ask, now);
-    this.#rate.arrived(waiting.key, time, now);
-    this.#queue.push(waiting);
+    const queued = this.#queuedRequest(request, now);
+    const time = this.#pool.expectedSlotTime(request, now);
+    this.#demand.recordArrival(queued.key, time, now);
+    this.#queue.push(queued);
     return undefined;
   }
 
-  /** Takes an ask back; true if it was granted and the grant not used. */
+  /** Removes a request; returns true if it had a grant, which was not used. */
   withdraw(id: string): boolean {
-    const waiting = this.#queue.remove(id);
-    if (waiting !== undefined) this.#quotaReservations.release(waiting.ask);
+    const queued = this.#queue.remove(id);
+    if (queued !== undefined) this.#quotaReservations.release(queued.request);
     const granted = this.#granted.get(id);
     if (granted === undefined) return false;
     this.#granted.delete(id);
-    this.#rooms.released(granted);
+    this.#pool.release(granted);
     return true;
   }
 
-  /** Counts a run that another entry granted before. */
-  adopt(ask: GrantRequest, server: string): void {
-    if (this.#granted.has(ask.id)) return;
-    const granted = { ask, server };
-    if (this.#rooms.adopted(granted)) this.#granted.set(ask.id, granted);
+  /** Counts a run that another entry has granted. */
+  adopt(request: GrantRequest, server: string): void {
+    if (this.#granted.has(request.id)) return;
+    const granted = { request, server };
+    if (this.#pool.adopt(granted)) this.#granted.set(request.id, granted);
   }
 
-  /** The first answer came `measured` milliseconds after the request was sent. */
-  recordResponseStart(id: string, measured: number, now: number): void {
+  /** Records that the response started `latency` milliseconds after sending. */
+  recordResponseStart(id: string, latency: number, now: number): void {
     const granted = this.#granted.get(id);
-    if (granted !== undefined) this.#rooms.firstAnswer(granted, measured, now);
+    if (granted !== undefined) {
+      this.#pool.recordResponseStart(granted, latency, now);
+    }
   }
 
-  /** All after the first token of an answer came; call it before `ended`. */
-  recordStreamTiming(id: string, pace: StreamTiming, now: number): void {
+  /**
+   * Records how fast a response came after its first token. Must be called before
+   * {@link ServiceScheduler.recordEnd}.
+   */
+  recordStreamTiming(id: string, timing: StreamTiming, now: number): void {
     const granted = this.#granted.get(id);
-    if (granted === undefined || pace.tokens <= 0) return;
-    this.#rooms.restAnswered(granted, pace, now);
+    if (granted === undefined || timing.tokens <= 0) return;
+    this.#pool.recordStreamTiming(granted, timing, now);
   }
 
-  /** States how a granted request ended. */
-  recordEnd(id: string, end: RunOutcome, now: number): void {
+  /** Records how the run of a granted request ended. */
+  recordEnd(id: string, outcome: RunOutcome, now: number): void {
     const granted = this.#granted.get(id);
     if (granted === undefined) return;
     this.#granted.delete(id);
-    this.#rooms.ended(granted, end, now);
+    this.#pool.recordEnd(granted, outcome, now);
   }
 
-  /** An entry is gone, and with it its connections to servers. */
+  /** Removes all requests of an entry, which has disconnected. */
   removeEntry(entry: string): void {
-    for (const { ask } of [...this.#queue]) {
-      if (ask.entry !== entry) continue;
-      this.#queue.remove(ask.id);
-      this.#quotaReservations.release(ask);
+    for (const { request } of [...this.#queue]) {
+      if (request.entry !== entry) continue;
+      this.#queue.remove(request.id);
+      this.#quotaReservations.release(request);
     }
-    for (const [id, { ask }] of this.#granted) {
-      if (ask.entry === entry) this.#granted.delete(id);
+    for (const [id, { request }] of this.#granted) {
+      if (request.entry === entry) this.#granted.delete(id);
     }
-    this.#rooms.forgetEntry(entry);
+    this.#pool.removeEntry(entry);
   }
 
-  /** Everything that can be decided now. */
+  /** Makes all decisions that are possible now. */
   decide(now: number): GrantDecision[] {
-    const verdicts = now >= this.#queue.changesAt ? this.#changes(now) : [];
-    if (this.#queue.size === 0 || !this.#rooms.hasPlace(now)) return verdicts;
-    this.#grantWaiting(verdicts, now);
-    return verdicts;
+    const decisions = now >= this.#queue.nextStandingEnd
+      ? this.#updateStandings(now)
+      : [];
+    if (this.#queue.size === 0 || !this.#pool.hasFreeSlot(now)) {
+      return decisions;
+    }
+    this.#grantWaiting(decisions, now);
+    return decisions;
   }
 
-  /** One sweep is enough: places and quotas only become fewer in it. */
-  #grantWaiting(verdicts: GrantDecision[], now: number): void {
-    const view = this.#rooms.view(now);
+  /**
+   * Grants waiting requests in one pass over the queue. A second pass would grant
+   * nothing more, as free slots and quotas only decrease during the first.
+   */
+  #grantWaiting(decisions: GrantDecision[], now: number): void {
+    const snapshot = this.#pool.snapshot(now);
     let passedOver = 0;
-    this.#queue.sweep((waiting) => {
-      const { ask } = waiting;
-      if (view.free.size === 0 || passedOver >= MOST_PASSED_OVER) {
+    this.#queue.visit((queued) => {
+      const { request } = queued;
+      if (snapshot.free.size === 0 || passedOver >= MAXIMUM_PASSED_OVER) {
         return "stop";
       }
-      if (!this.#quotaReservations.allows(ask, now)) return "passed_over";
-      const server = this.#rooms.choose(ask, view, now);
+      if (!this.#quotaReservations.allows(request, now)) return "passed_over";
+      const server = this.#pool.selectServer(request, snapshot, now);
       if (server === undefined) {
-        this.#quotaReservations.release(ask);
+        this.#quotaReservations.release(request);
         passedOver++;
         return "passed_over";
       }
-      const { sizedKind, value } = waiting;
-      this.#sizes.granted(sizedKind, nominalUse(ask.cost) / value);
-      verdicts.push(this.#grant({ ask, server }, view, now));
+      const { requestClass, value } = queued;
+      this.#fairness.recordGrant(
+        requestClass,
+        nominalSlotTime(request.cost) / value,
+      );
+      decisions.push(this.#grant({ request, server }, snapshot, now));
       return "taken";
     });
   }
 
-  #grant(granted: Granted, view: ServiceView, now: number): GrantDecision {
-    const { ask: request, server } = granted;
+  #grant(
+    granted: GrantedRequest,
+    snapshot: PoolSnapshot,
+    now: number,
+  ): GrantDecision {
+    const { request, server } = granted;
     this.#quotaReservations.release(request);
     this.#quotas.charge(request.organisation, request.charge, now);
     this.#granted.set(request.id, granted);
-    this.#rooms.started(granted, view, now);
-    this.#rate.granted(now);
-    return { kind: "grant", request: request, server };
+    this.#pool.recordStart(granted, snapshot, now);
+    this.#demand.recordGrant(now);
+    return { kind: "grant", request, server };
   }
 
-  #waitingOf(ask: GrantRequest, now: number): WaitingAsk {
-    const { cost, expiresAt: lapsesAt } = ask;
-    const kind = `${ask.tierRank}.${ask.routeRank}`;
-    const returned = this.#returning.returns(ask.fingerprint, now);
-    const sizedKind = this.#sizes.asked(kind, cost, returned);
-    const ownValue = this.#value.observe(kind, cost);
-    const value = this.#sizes.valueOf(sizedKind, cost, ownValue);
-    const latestStart = ask.latencyGoalAt - this.#rooms.expectedFirst(ask, now);
-    const timely = latestStart > now;
-    const standing = returned ? "returned" : timely ? "timely" : "late";
-    const changesAt = standing === "timely" ? latestStart : lapsesAt;
-    return new WaitingAsk(ask, { standing, changesAt, value, sizedKind });
+  #queuedRequest(request: GrantRequest, now: number): QueuedRequest {
+    const { cost, expiresAt } = request;
+    const priorityClass = `${request.tierRank}.${request.routeRank}`;
+    const isRetry = this.#retryingCallers.takeRetry(request.fingerprint, now);
+    const requestClass = this.#fairness.recordRequest(
+      priorityClass,
+      cost,
+      isRetry,
+    );
+    const ownValue = this.#responseValue.observe(priorityClass, cost);
+    const value = this.#fairness.valueOf(requestClass, cost, ownValue);
+    const latestStart = request.latencyGoalAt -
+      this.#pool.expectedFirstTokenTime(request, now);
+    const isTimely = latestStart > now;
+    const standing = isRetry ? "returned" : isTimely ? "timely" : "late";
+    const standingEndsAt = standing === "timely" ? latestStart : expiresAt;
+    return new QueuedRequest(request, {
+      standing,
+      standingEndsAt,
+      value,
+      requestClass,
+    });
   }
 
-  /** Asks that can't be on time any more, and those nobody waits for. */
-  #changes(now: number): GrantDecision[] {
-    const verdicts: GrantDecision[] = [];
-    for (const waiting of this.#queue.takeDue(now)) {
-      const { ask } = waiting;
-      if (ask.expiresAt <= now) {
-        const reason = this.#lapseReason(ask, now);
-        verdicts.push(this.#refusal(ask, reason, now, waiting.standing));
+  /** Refuses expired requests, and demotes or refuses those that have become late. */
+  #updateStandings(now: number): GrantDecision[] {
+    const decisions: GrantDecision[] = [];
+    for (const queued of this.#queue.removeDue(now)) {
+      const { request } = queued;
+      if (request.expiresAt <= now) {
+        const reason = this.#expiryReason(request, now);
+        decisions.push(this.#refusal(request, reason, now, queued.standing));
         continue;
       }
-      this.#becomeLate(waiting, now, verdicts);
+      this.#demoteOrRefuse(queued, now, decisions);
     }
-    return verdicts;
+    return decisions;
   }
 
-  #lapseReason(ask: GrantRequest, now: number): GrantRefusalReason {
-    const allowed = this.#quotas.allows(ask.organisation, ask.charge, now);
+  #expiryReason(request: GrantRequest, now: number): GrantRefusalReason {
+    const allowed = this.#quotas.allows(
+      request.organisation,
+      request.charge,
+      now,
+    );
     return allowed ? "expired" : "quota";
   }
 
-  #becomeLate(
-    waiting: WaitingAsk,
+  #demoteOrRefuse(
+    queued: QueuedRequest,
     now: number,
-    verdicts: GrantDecision[],
+    decisions: GrantDecision[],
   ): void {
-    const { ask, value, sizedKind } = waiting;
-    const late = new WaitingAsk(ask, {
+    const { request, value, requestClass } = queued;
+    const late = new QueuedRequest(request, {
       standing: "late",
-      changesAt: ask.expiresAt,
+      standingEndsAt: request.expiresAt,
       value,
-      sizedKind,
+      requestClass,
     });
-    // Just after a start expected times are high, since the process itself is
-    // slow; they are no reason to refuse while a place is free.
-    if (!this.#rooms.hasPlace(now) && this.#beyondReach(late.key, now)) {
-      const { standing } = waiting;
-      verdicts.push(this.#refusal(ask, "overload", now, standing));
+    // Shortly after the process has started it is slow itself, which raises the
+    // expected times. They must not cause refusals while a slot is free.
+    if (!this.#pool.hasFreeSlot(now) && this.#exceedsCapacity(late.key, now)) {
+      const { standing } = queued;
+      decisions.push(this.#refusal(request, "overload", now, standing));
       return;
     }
     this.#queue.push(late);
   }
 
-  #beyondReach(key: number, now: number): boolean {
-    const places = this.#rooms.ownPlaces(this.#rate.meanTime(now));
-    return this.#rate.beyondReach(key, places, now);
+  #exceedsCapacity(key: number, now: number): boolean {
+    const slots = this.#pool.usableSlots(this.#demand.meanSlotTime(now));
+    return this.#demand.exceedsCapacity(key, slots, now);
   }
 
   #refusal(
     request: GrantRequest,
     reason: GrantRefusalReason,
     now: number,
-    standing?: AskStanding,
+    standing?: RequestStanding,
   ): GrantDecision {
-    this.#returning.refused(request.fingerprint, now);
+    this.#retryingCallers.recordRefusal(request.fingerprint, now);
     this.#quotaReservations.release(request);
     return {
       kind: "refuse",
-      request: request,
+      request,
       reason,
       retryAfter: retryAfter(request, reason, now),
-      inputs: { ...this.seen(request, now), standing },
+      inputs: { ...this.refusalInputs(request, now), standing },
     };
   }
 
-  /** What a refusal goes by. */
-  seen(ask: GrantRequest, now: number): RefusalInputs {
-    const { organisation, charge } = ask;
+  /** Returns the state that a refusal of the request is based on. */
+  refusalInputs(request: GrantRequest, now: number): RefusalInputs {
+    const { organisation, charge } = request;
     return {
-      free: this.#rooms.freePlaces,
+      free: this.#pool.freeSlots,
       waiting: this.#queue.size,
       quotaWait: this.#quotas.waitFor(organisation, charge, now),
     };
--- a/packages/decisions/src/dispatch/size_fairness.ts
+++ b/packages/decisions/src/dispatch/size_fairness.ts
@@ -1,130 +1,158 @@
 /**
- * Keeps the largest requests of a kind from being starved while places are short.
+ * Prevents the starvation of the largest requests of a priority class (tier and
+ * route) while slots are scarce.
  *
- * The order by value for time puts the largest answers of a kind last. While more
- * arrives than can be served, the end of that order is never reached. So each
- * size class is counted, and while one is served far less often than its kind, its
- * asks are ordered like those of the kind that are served.
+ * The order by value per slot time puts the largest requests of a class last, and
+ * as long as demand exceeds capacity the end of that order is never served.
+ * Therefore the served fraction is tracked for each size class. While it is far
+ * below that of the whole priority class, requests of the size class are ordered
+ * like those of the priority class that are granted.
  * @module
  */
 import type { Cost } from "../queueing/mod.ts";
 import { RecentQuantiles } from "../estimates/recent_quantiles.ts";
-import { sizeOf } from "./response_value.ts";
-import { nominalUse } from "./latency_ratio.ts";
+import { weightedTokens } from "./response_value.ts";
+import { nominalSlotTime } from "./latency_ratio.ts";
 
-/** The largest tenth of a kind, the fifth below it, and the rest. */
+/** The largest tenth of a priority class, the fifth below it, and the rest. */
 export type SizeClass = "largest" | "large" | "usual";
 
+/** Quantile of the sizes above which a request is of the largest class. */
 const LARGEST_QUANTILE = 0.9;
+/** Quantile of the sizes above which a request is at least large. */
 const LARGE_QUANTILE = 0.7;
-/** Of the uses of granted asks: where the asks of an underserved class are ordered. */
+/**
+ * Quantile of the slot times of granted requests at which requests of an
+ * underserved size class are ordered.
+ */
 const GRANTED_QUANTILE = 0.5;
-/** A class is underserved below this part of the fraction that its kind is served. */
-const LEAST_SHARE = 0.6;
 /**
- * Asks of a kind in which its counts fade to a third: what was served before a
- * burst makes up for little of what is refused in it.
+ * A size class is underserved if its served fraction is below this fraction of
+ * the whole priority class's.
+ */
+const MINIMUM_RELATIVE_FRACTION = 0.6;
+/**
+ * Number of requests of a priority class in which its counts decay to a third, so
+ * that what was served before a burst hardly offsets what is refused in it.
  */
 const MEMORY = 300;
-const FADING = Math.exp(-1 / MEMORY);
-/** Asks of a kind before its fractions say anything. */
-const LEAST_ASKED = 50;
-
-/** The latest asks, and how many of them were granted. */
-class ServedShare {
-  #asked = 0;
-  #granted = 0;
-
-  get asked(): number {
-    return this.#asked;
+/** Factor of the counts for each request. */
+const DECAY = Math.exp(-1 / MEMORY);
+/** Number of requests of a priority class before its fractions are significant. */
+const MINIMUM_REQUESTS = 50;
+
+/** Counts recent requests and grants, for the fraction that is served. */
+class ServedFraction {
+  #requests = 0;
+  #grants = 0;
+
+  get requested(): number {
+    return this.#requests;
   }
 
-  /** 1 while nothing was asked. */
-  get fraction(): number {
-    return this.#asked === 0 ? 1 : this.#granted / this.#asked;
+  /** 1 before the first request. */
+  get value(): number {
+    return this.#requests === 0 ? 1 : this.#grants / this.#requests;
   }
 
-  countAsk(): void {
-    this.#asked++;
+  countRequest(): void {
+    this.#requests++;
   }
 
   countGrant(): void {
-    this.#granted++;
+    this.#grants++;
   }
 
-  fade(): void {
-    this.#asked *= FADING;
-    this.#granted *= FADING;
+  decay(): void {
+    this.#requests *= DECAY;
+    this.#grants *= DECAY;
   }
 }
 
-/** One kind: the asks of one tier and route. */
-class KindShares {
-  readonly all = new ServedShare();
-  readonly classes: Record<SizeClass, ServedShare> = {
-    largest: new ServedShare(),
-    large: new ServedShare(),
-    usual: new ServedShare(),
+/** Served fractions and sizes of the requests of one tier and route. */
+class PriorityClassStatistics {
+  readonly all = new ServedFraction();
+  readonly classes: Record<SizeClass, ServedFraction> = {
+    largest: new ServedFraction(),
+    large: new ServedFraction(),
+    usual: new ServedFraction(),
   };
   readonly sizes = new RecentQuantiles();
-  /** Milliseconds of places for the value of an answer, of granted asks. */
-  readonly grantedUse = new RecentQuantiles();
+  /** Slot time in milliseconds per value of the response, of granted requests. */
+  readonly grantedSlotTimes = new RecentQuantiles();
 
-  countAsk(size: number, sizeClass: SizeClass): void {
+  countRequest(size: number, sizeClass: SizeClass): void {
     this.sizes.add(size);
-    this.all.fade();
-    for (const share of Object.values(this.classes)) share.fade();
-    this.all.countAsk();
-    this.classes[sizeClass].countAsk();
+    this.all.decay();
+    for (const served of Object.values(this.classes)) served.decay();
+    this.all.countRequest();
+    this.classes[sizeClass].countRequest();
   }
 
-  /** True while a class is served far less often than the kind. */
+  /** True while the size class is served far less often than the priority class. */
   isUnderserved(sizeClass: SizeClass): boolean {
-    if (this.all.asked < LEAST_ASKED) return false;
-    const least = LEAST_SHARE * this.all.fraction;
-    return this.classes[sizeClass].fraction < least;
+    if (this.all.requested < MINIMUM_REQUESTS) return false;
+    const minimum = MINIMUM_RELATIVE_FRACTION * this.all.value;
+    return this.classes[sizeClass].value < minimum;
   }
 
   classOf(size: number): SizeClass {
     if (size > (this.sizes.value(LARGEST_QUANTILE) ?? Infinity)) {
       return "largest";
     }
-    const large = size > (this.sizes.value(LARGE_QUANTILE) ?? Infinity);
-    return large ? "large" : "usual";
+    const isLarge = size > (this.sizes.value(LARGE_QUANTILE) ?? Infinity);
+    return isLarge ? "large" : "usual";
   }
 }
 
-/** Where an ask is counted; see {@link SizeShares.asked}. */
-export type SizedKind = { kind: string; sizeClass: SizeClass };
-
-/** Served fractions by kind and size class; see the module. */
-export class SizeShares {
-  readonly #kinds = new Map<string, KindShares>();
-
-  /** Counts an ask. `again`: its caller was refused before, and counted then. */
-  asked(kind: string, cost: Cost, again: boolean): SizedKind {
-    const shares = this.#kinds.get(kind) ?? new KindShares();
-    this.#kinds.set(kind, shares);
-    const size = sizeOf(cost);
-    const sizeClass = shares.classOf(size);
-    if (!again) shares.countAsk(size, sizeClass);
-    return { kind, sizeClass };
+/** The class that a request is counted in; see {@link SizeFairness.recordRequest}. */
+export type RequestClass = { priorityClass: string; sizeClass: SizeClass };
+
+/** Tracks served fractions by priority class and size class. */
+export class SizeFairness {
+  readonly #statistics = new Map<string, PriorityClassStatistics>();
+
+  /** Counts a request, except for a retry, which was counted when it was refused. */
+  recordRequest(
+    priorityClass: string,
+    cost: Cost,
+    isRetry: boolean,
+  ): RequestClass {
+    const statistics = this.#statistics.get(priorityClass) ??
+      new PriorityClassStatistics();
+    this.#statistics.set(priorityClass, statistics);
+    const size = weightedTokens(cost);
+    const sizeClass = statistics.classOf(size);
+    if (!isRetry) statistics.countRequest(size, sizeClass);
+    return { priorityClass, sizeClass };
   }
 
-  /** Counts a grant. `use`: milliseconds of places for its value. */
-  granted({ kind, sizeClass }: SizedKind, use: number): void {
-    const shares = this.#kinds.get(kind);
-    if (shares === undefined) return;
-    shares.all.countGrant();
-    shares.classes[sizeClass].countGrant();
-    shares.grantedUse.add(use);
+  /** Counts a grant. `slotTime` is in milliseconds per value of the response. */
+  recordGrant(
+    { priorityClass, sizeClass }: RequestClass,
+    slotTime: number,
+  ): void {
+    const statistics = this.#statistics.get(priorityClass);
+    if (statistics === undefined) return;
+    statistics.all.countGrant();
+    statistics.classes[sizeClass].countGrant();
+    statistics.grantedSlotTimes.add(slotTime);
   }
 
-  /** The value to order an ask by: its own, or more while its class is underserved. */
-  valueOf({ kind, sizeClass }: SizedKind, cost: Cost, own: number): number {
-    const shares = this.#kinds.get(kind);
-    const use = shares?.grantedUse.value(GRANTED_QUANTILE);
-    if (!shares?.isUnderserved(sizeClass) || use === undefined) return own;
-    return Math.max(own, nominalUse(cost) / use);
+  /**
+   * Returns the value to order a request by: its own, or a larger one while its
+   * size class is underserved.
+   */
+  valueOf(
+    { priorityClass, sizeClass }: RequestClass,
+    cost: Cost,
+    ownValue: number,
+  ): number {
+    const statistics = this.#statistics.get(priorityClass);
+    const slotTime = statistics?.grantedSlotTimes.value(GRANTED_QUANTILE);
+    if (!statistics?.isUnderserved(sizeClass) || slotTime === undefined) {
+      return ownValue;
+    }
+    return Math.max(ownValue, nominalSlotTime(cost) / slotTime);
   }
 }
--- a/packages/decisions/src/estimates/drain_rate.ts
+++ b/packages/decisions/src/estimates/drain_rate.ts
@@ -11,10 +11,11 @@
 
 /** Time constant of the decay, in milliseconds. */
 const DECAY_TIME = 10_000;
-/** Bounds in milliseconds, without jitter. */
+/** Minimum retry delay in milliseconds, before jitter. */
 const MINIMUM_RETRY_AFTER = 250;
+/** Maximum wait and retry delay in milliseconds, before jitter. */
 const MAXIMUM_RETRY_AFTER = 60_000;
-/** Milliseconds while nothing has been completed yet. */
+/** Wait in milliseconds while nothing has been completed yet. */
 const INITIAL_RETRY_AFTER = 1000;
 /** Maximum jitter as a fraction of the wait. */
 const MAXIMUM_JITTER = 0.5;
--- a/packages/decisions/src/estimates/service_time_estimator.ts
+++ b/packages/decisions/src/estimates/service_time_estimator.ts
@@ -23,15 +23,15 @@
 const MARGIN = 1.5;
 /** Factor by which each response reduces the weight of those before it. */
 const FORGETTING = 0.98;
-/**
- * Initial estimate in milliseconds: 100 ms, 2,000 prompt tokens per second, 38 ms
- * per output token.
- */
+/** Initial estimate: milliseconds to the first token, without the prefill. */
 const INITIAL_FIRST_TOKEN = 100;
+/** Initial estimate: milliseconds per prompt token, i.e. 2,000 tokens per second. */
 const INITIAL_PER_PROMPT_TOKEN = 0.5;
+/** Initial estimate: milliseconds per output token. */
 const INITIAL_PER_OUTPUT_TOKEN = 38;
-/** The initial estimate counts as two responses of these sizes. */
+/** The initial estimate counts as two responses, to prompts of these sizes. */
 const INITIAL_PROMPT_TOKENS = [0, 1000] as const;
+/** Output tokens that the initial estimate counts as. */
 const INITIAL_OUTPUT_TOKENS = 50;
 
 /** A complete response; times are milliseconds from sending the request. */
--- a/packages/decisions/src/granting/mod.ts
+++ b/packages/decisions/src/granting/mod.ts
@@ -1,4 +1,4 @@
-/** Reservations, grants and their redemption at the sidecar. @module */
+/** Schedules reservations at the sidecar of a backend server. @module */
 export {
   GRANT_TIMEOUT,
   ReservationScheduler,
--- a/packages/decisions/src/granting/reservation_decision.ts
+++ b/packages/decisions/src/granting/reservation_decision.ts
@@ -1,6 +1,6 @@
-/** What the grant desk tells the entry that made a reservation. @module */
+/** Decisions on reservations, which are sent to the entries that made them. @module */
 
-/** Why a reservation ended without a dispatch. */
+/** Why a reservation was refused or lost its grant. */
 export type ReservationRefusalReason =
   | "queue_full"
   | "evicted"
@@ -10,7 +10,10 @@
   | "unhealthy"
   | "version_stopped";
 
-/** `lapse` is milliseconds; `id` is the reservation's. */
+/**
+ * `id` is the reservation's, `grant` the number that redeems the grant, `lapse` the
+ * milliseconds after which the grant expires.
+ */
 export type ReservationDecision =
   | { kind: "grant"; id: string; grant: number; lapse: number }
   | { kind: "refuse"; id: string; reason: ReservationRefusalReason };
--- a/packages/decisions/src/granting/reservation_scheduler.ts
+++ b/packages/decisions/src/granting/reservation_scheduler.ts
@@ -1,61 +1,65 @@
 /**
- * Late binding at the sidecar: reservations wait here, the backend server's
- * free room is offered as a grant, and the request itself arrives only in
- * answer to one.
+ * Late binding of requests to backend servers: reservations wait at the sidecars,
+ * each sidecar offers free capacity of its server as a grant, and the request
+ * itself is sent only in response to a grant.
  *
- * Load pattern: unlike backend servers and load reports that are seconds old.
- * Without it an entry pushes the request to a server that only looks free,
- * and it waits behind work that the engine admits as it comes. A grant holds
- * room while it is open, so it lapses soon: an entry that died or is paused
- * must not keep a server idle.
+ * Backend servers differ in speed, and load reports are seconds old. If entries
+ * pushed requests to servers, a request would be sent to a server that only looks
+ * idle, and wait there behind work that the engine admits in order of arrival. An
+ * open grant occupies capacity, so it expires soon: an entry that has crashed or is
+ * paused must not keep a server idle.
  * @module
  */
 import type { ConcurrencyLimit } from "../limits/mod.ts";
 import type { WaitingQueue, WaitingReservation } from "../queueing/mod.ts";
-import { LimitedPace } from "../server_limits/mod.ts";
+import { ServerRateLimiter } from "../server_limits/mod.ts";
 import type {
   ReservationDecision,
   ReservationRefusalReason,
 } from "./reservation_decision.ts";
 
 /**
- * A round trip within a region takes about 2 ms; an entry that stalls for
- * garbage collection takes tens. Beyond that the room is better offered on.
+ * Milliseconds after which an unused grant expires and its capacity is offered to
+ * another reservation. A round trip within a region takes about 2 ms, a pause of an
+ * entry for garbage collection tens of milliseconds.
  */
 export const GRANT_TIMEOUT = 250;
 
-/** Milliseconds that a suspect waits for the server to empty by itself. */
-const SUSPECT_PATIENCE = 1000;
 /**
- * Milliseconds that a server is kept from others for a suspect's sake; longer
- * than most answers.
+ * Milliseconds that a suspect (a request that may have crashed a server) waits for
+ * the server to become idle before other requests are held back.
  */
-const LONGEST_EMPTYING = 30_000;
+const SUSPECT_WAIT = 1000;
+/**
+ * Maximum milliseconds for which other requests are held back for a suspect; longer
+ * than most responses take.
+ */
+const MAXIMUM_HOLD_BACK = 30_000;
 
 type OpenGrant = {
-  waiting: WaitingReservation;
+  reservation: WaitingReservation;
   grant: number;
-  lapsesAt: number;
+  expiresAt: number;
 };
 
-/** What a grant's redemption found. */
-export type Redemption = { valid: true; waiting: WaitingReservation } | {
+/** Result of redeeming a grant; invalid if it has expired. */
+export type Redemption = { valid: true; reservation: WaitingReservation } | {
   valid: false;
 };
 
-/** Queue, limit and open grants of one backend server. */
+/** Holds the queue, the limit and the open grants of one backend server. */
 export class ReservationScheduler {
   readonly #queue: WaitingQueue;
   readonly #limit: ConcurrencyLimit;
-  readonly #granted = new Map<string, OpenGrant>();
+  readonly #openGrants = new Map<string, OpenGrant>();
   readonly #running = new Map<string, WaitingReservation>();
   #nextGrant = 1;
-  #suspectAtWork: string | undefined;
-  readonly #suspectsWaiting = new Set<string>();
-  /** When a suspect was first passed over for want of an empty server. */
-  #suspectSince: number | undefined;
-  #closed: ReservationRefusalReason | undefined;
-  #pace: LimitedPace | undefined;
+  #activeSuspect: string | undefined;
+  readonly #waitingSuspects = new Set<string>();
+  /** When a suspect first had to wait because the server was not idle. */
+  #suspectWaitsSince: number | undefined;
+  #closedFor: ReservationRefusalReason | undefined;
+  #rateLimiter: ServerRateLimiter | undefined;
 
   constructor(options: { queue: WaitingQueue; limit: ConcurrencyLimit }) {
     this.#queue = options.queue;
@@ -66,71 +70,71 @@
     return this.#running.size;
   }
 
-  /** Requests that hold room: running ones and open grants. */
+  /** Requests that occupy capacity: running ones and open grants. */
   get occupied(): number {
-    return this.#running.size + this.#granted.size;
+    return this.#running.size + this.#openGrants.size;
   }
 
-  /** Open grants. */
   get openGrants(): number {
-    return this.#granted.size;
+    return this.#openGrants.size;
   }
 
   get waiting(): number {
     return this.#queue.size;
   }
 
-  /** Lowest tier that would be queued now; undefined while all would be. */
+  /** Lowest tier that would be queued now; `undefined` if all tiers would be. */
   get lowestTierRank(): number | undefined {
     return this.#queue.lowestTierRank();
   }
 
-  /** The server takes `perSecond` requests a second; any if `undefined`. */
+  /** Sets the rate that the server accepts; `undefined` removes the limit. */
   setRateLimit(
     perSecond: number | undefined,
     now: number,
   ): ReservationDecision[] {
-    if (perSecond === undefined) this.#pace = undefined;
+    if (perSecond === undefined) this.#rateLimiter = undefined;
     else {
-      this.#pace ??= new LimitedPace(now);
-      this.#pace.configure(perSecond, 1, now);
+      this.#rateLimiter ??= new ServerRateLimiter(now);
+      this.#rateLimiter.configure(perSecond, 1, now);
     }
     return this.#grantAll(now);
   }
 
-  /** Takes a reservation in, or refuses it; may grant at once. */
-  reserve(waiting: WaitingReservation, now: number): ReservationDecision[] {
-    if (this.#closed) return [refuse(waiting, this.#closed)];
-    const offer = this.#queue.offer(waiting, now);
-    if (!offer.queued) return [refuse(waiting, offer.reason)];
-    if (waiting.suspect) this.#suspectsWaiting.add(waiting.id);
+  /** Queues a reservation, or refuses it; may grant it at once. */
+  reserve(reservation: WaitingReservation, now: number): ReservationDecision[] {
+    if (this.#closedFor) return [refuse(reservation, this.#closedFor)];
+    const result = this.#queue.offer(reservation, now);
+    if (!result.queued) return [refuse(reservation, result.reason)];
+    if (reservation.suspect) this.#waitingSuspects.add(reservation.id);
     return [
-      ...offer.evicted.map((evicted) => this.#drop(evicted, "evicted")),
+      ...result.evicted.map((evicted) => this.#drop(evicted, "evicted")),
       ...this.#grantAll(now),
     ];
   }
 
-  /** Forgets a reservation or an open grant; running requests stay. */
+  /** Removes a reservation or an open grant; has no effect on a running request. */
   withdraw(id: string, now: number): ReservationDecision[] {
     if (this.#queue.withdraw(id)) {
-      this.#forgetSuspect(id);
+      this.#removeWaitingSuspect(id);
       return this.#grantAll(now);
     }
-    if (!this.#granted.has(id)) return [];
+    if (!this.#openGrants.has(id)) return [];
     this.#returnGrant(id, now);
     return this.#grantAll(now);
   }
 
   /**
-   * The request came in answer to a grant. A lapsed grant answered late finds
-   * its number gone: the room was offered on, so the request must not run.
+   * Starts the request that arrived in response to a grant. If the grant has
+   * expired its number is unknown: the capacity was offered to another reservation,
+   * so the request must not run.
    */
   redeem(id: string, grant: number): Redemption {
-    const open = this.#granted.get(id);
+    const open = this.#openGrants.get(id);
     if (open?.grant !== grant) return { valid: false };
-    this.#granted.delete(id);
-    this.#running.set(id, open.waiting);
-    return { valid: true, waiting: open.waiting };
+    this.#openGrants.delete(id);
+    this.#running.set(id, open.reservation);
+    return { valid: true, reservation: open.reservation };
   }
 
   firstToken(id: string, now: number): void {
@@ -146,7 +150,7 @@
     return this.#grantAll(now);
   }
 
-  /** A running request ended and gives its room back. */
+  /** Removes a request that has ended, which frees its capacity. */
   finished(
     id: string,
     outcome: "ok" | "failed" | "cancelled",
@@ -154,17 +158,17 @@
   ): ReservationDecision[] {
     if (!this.#running.delete(id)) return [];
     this.#limit.finished(id, outcome, now);
-    this.#releaseSuspect(id);
+    this.#endActiveSuspect(id);
     return this.#grantAll(now);
   }
 
-  /** Lets grants lapse and refuses what can't meet its deadline any more. */
+  /** Expires grants, and refuses reservations that can no longer meet their deadline. */
   tick(now: number): ReservationDecision[] {
     const decisions: ReservationDecision[] = [];
-    for (const open of [...this.#granted.values()]) {
-      if (open.lapsesAt > now) continue;
-      this.#returnGrant(open.waiting.id, now);
-      decisions.push(refuse(open.waiting, "grant_lapsed"));
+    for (const open of [...this.#openGrants.values()]) {
+      if (open.expiresAt > now) continue;
+      this.#returnGrant(open.reservation.id, now);
+      decisions.push(refuse(open.reservation, "grant_lapsed"));
     }
     for (const expired of this.#queue.expire(now)) {
       decisions.push(this.#drop(expired, "deadline"));
@@ -173,18 +177,18 @@
     return decisions;
   }
 
-  /** Refuses all that waits and all that comes; running requests finish. */
-  close(cause: ReservationRefusalReason, now: number): ReservationDecision[] {
-    this.#closed = cause;
+  /** Refuses all waiting and future reservations; running requests finish. */
+  close(reason: ReservationRefusalReason, now: number): ReservationDecision[] {
+    this.#closedFor = reason;
     const decisions: ReservationDecision[] = [];
-    for (const open of [...this.#granted.values()]) {
-      this.#returnGrant(open.waiting.id, now);
-      decisions.push(refuse(open.waiting, cause));
+    for (const open of [...this.#openGrants.values()]) {
+      this.#returnGrant(open.reservation.id, now);
+      decisions.push(refuse(open.reservation, reason));
     }
     for (;;) {
-      const waiting = this.#queue.take(now, () => true);
-      if (!waiting) break;
-      decisions.push(this.#drop(waiting, cause));
+      const reservation = this.#queue.take(now, () => true);
+      if (!reservation) break;
+      decisions.push(this.#drop(reservation, reason));
     }
     for (const expired of this.#queue.expire(now)) {
       decisions.push(this.#drop(expired, "deadline"));
@@ -192,91 +196,91 @@
     return decisions;
   }
 
-  /** Takes reservations again after {@link close}. */
+  /** Accepts reservations again after {@link ReservationScheduler.close}. */
   open(): void {
-    this.#closed = undefined;
+    this.#closedFor = undefined;
   }
 
   #grantAll(now: number): ReservationDecision[] {
     const decisions: ReservationDecision[] = [];
-    if (this.#closed) return decisions;
+    if (this.#closedFor) return decisions;
     for (;;) {
-      const waiting = this.#queue.take(
+      const reservation = this.#queue.take(
         now,
         (next) => this.#admits(next, now),
       );
-      if (!waiting) return decisions;
-      decisions.push(this.#grant(waiting, now));
+      if (!reservation) return decisions;
+      decisions.push(this.#grant(reservation, now));
     }
   }
 
   /**
-   * A request that may have crashed a server runs with nothing beside it:
-   * what it takes down is then only itself. A busy server never empties by
-   * itself, so after a while nothing else is let in before the suspect.
+   * A suspect runs alone, so that a crash affects no other request. Under load a
+   * server never becomes idle by itself, so after a while other requests are held
+   * back until the suspect has run.
    */
-  #admits(waiting: WaitingReservation, now: number): boolean {
-    if (this.#suspectAtWork !== undefined) return false;
-    if (this.#pace?.allows(now) === false) return false;
-    if (waiting.suspect) return this.#admitsSuspect(now);
-    const held = this.#suspectSince ?? now;
-    const emptying = now - held >= SUSPECT_PATIENCE &&
-      now - held < SUSPECT_PATIENCE + LONGEST_EMPTYING;
-    return !emptying && this.#limit.admits(waiting);
+  #admits(reservation: WaitingReservation, now: number): boolean {
+    if (this.#activeSuspect !== undefined) return false;
+    if (this.#rateLimiter?.allows(now) === false) return false;
+    if (reservation.suspect) return this.#admitsSuspect(now);
+    const waitsSince = this.#suspectWaitsSince ?? now;
+    const holdsBack = now - waitsSince >= SUSPECT_WAIT &&
+      now - waitsSince < SUSPECT_WAIT + MAXIMUM_HOLD_BACK;
+    return !holdsBack && this.#limit.admits(reservation);
   }
 
   #admitsSuspect(now: number): boolean {
     if (this.occupied === 0) return true;
-    this.#suspectSince ??= now;
+    this.#suspectWaitsSince ??= now;
     return false;
   }
 
-  /** No longer waits; a server that emptied for nobody else serves again. */
-  #forgetSuspect(id: string): void {
-    this.#suspectsWaiting.delete(id);
-    if (this.#suspectsWaiting.size === 0) this.#suspectSince = undefined;
+  /** Other requests are admitted again once no suspect waits. */
+  #removeWaitingSuspect(id: string): void {
+    this.#waitingSuspects.delete(id);
+    if (this.#waitingSuspects.size === 0) this.#suspectWaitsSince = undefined;
   }
 
   #drop(
-    waiting: WaitingReservation,
+    reservation: WaitingReservation,
     reason: ReservationRefusalReason,
   ): ReservationDecision {
-    this.#forgetSuspect(waiting.id);
-    return refuse(waiting, reason);
+    this.#removeWaitingSuspect(reservation.id);
+    return refuse(reservation, reason);
   }
 
-  #grant(waiting: WaitingReservation, now: number): ReservationDecision {
+  #grant(reservation: WaitingReservation, now: number): ReservationDecision {
     const grant = this.#nextGrant;
     this.#nextGrant += 1;
-    this.#limit.started(waiting.id, waiting.cost, now);
-    this.#pace?.take(now);
-    this.#granted.set(waiting.id, {
-      waiting,
+    this.#limit.started(reservation.id, reservation.cost, now);
+    this.#rateLimiter?.take(now);
+    this.#openGrants.set(reservation.id, {
+      reservation,
       grant,
-      lapsesAt: now + GRANT_TIMEOUT,
+      expiresAt: now + GRANT_TIMEOUT,
     });
-    if (waiting.suspect) {
-      this.#forgetSuspect(waiting.id);
-      this.#suspectAtWork = waiting.id;
+    if (reservation.suspect) {
+      this.#removeWaitingSuspect(reservation.id);
+      this.#activeSuspect = reservation.id;
     }
-    return { kind: "grant", id: waiting.id, grant, lapse: GRANT_TIMEOUT };
+    return { kind: "grant", id: reservation.id, grant, lapse: GRANT_TIMEOUT };
   }
 
   #returnGrant(id: string, now: number): void {
-    this.#granted.delete(id);
-    this.#pace?.giveBack();
+    this.#openGrants.delete(id);
+    this.#rateLimiter?.refund();
     this.#limit.finished(id, "cancelled", now);
-    this.#releaseSuspect(id);
+    this.#endActiveSuspect(id);
   }
 
-  #releaseSuspect(id: string): void {
-    if (this.#suspectAtWork === id) this.#suspectAtWork = undefined;
+  #endActiveSuspect(id: string): void {
+    if (this.#activeSuspect === id) this.#activeSuspect = undefined;
   }
 }
 
 function refuse(
-  waiting: WaitingReservation,
+  reservation: WaitingReservation,
   reason: ReservationRefusalReason,
 ): ReservationDecision {
-  return { kind: "refuse", id: waiting.id, reason };
+  return { kind: "refuse", id: reservation.id, reason };
 }
--- a/packages/decisions/src/quotas/organisation_quotas.ts
+++ b/packages/decisions/src/quotas/organisation_quotas.ts
@@ -1,122 +1,129 @@
 /**
- * Quotas of organisations, held by whoever grants for a group of entries.
+ * Enforces the quotas of organisations at the entry that grants for a group.
  *
- * An organisation that sends many times its usual would take the room of all
- * others. Its quota is over all entries, also over those that can't hear each
- * other, so whoever grants uses only its part of it: the parts add up to one at
- * most, and no agreement is needed while the fleet is divided.
+ * Without quotas, an organisation that sends many times its usual load would take
+ * the capacity of all others. A quota applies to the whole fleet, also while entries
+ * are disconnected from each other. Therefore each granting entry uses only its
+ * group's fraction of it. The fractions add up to one at most, so that no agreement
+ * is needed while the fleet is divided.
  *
- * What operators accept in a window is let through mostly as a rate and only a
- * little as a burst: an organisation that used all of it at once would be refused
- * for the rest of the window.
+ * Of the amount that operators accept in a window, most is granted as a rate and
+ * only little as a burst: an organisation that used all of it at once would be
+ * refused for the rest of the window.
  * @module
  */
 import { TokenBucket } from "./token_bucket.ts";
 
-/** What an organisation may use over all entries. */
+/** What an organisation may use in the whole fleet, in tokens. */
 export type Quota = { ratePerSecond: number; burst: number };
 
 /**
- * What is accepted beyond rate and burst in any window, as operators state it:
- * `overage` is a share of both, `slack` an amount; `window` in milliseconds.
+ * What operators accept beyond rate and burst in any window of `window`
+ * milliseconds: `overage` is a fraction of both, `slack` an amount in tokens.
  */
 export type QuotaLeeway = { window: number; overage: number; slack: number };
 
-/** Part of what is accepted that is used: requests on their way count later. */
-const USED_PART = 0.95;
-/** Part of that which is let through as a burst; the rest is the rate. */
-const BURST_PART = 0.1;
 /**
- * Part of a burst that comes with a part of the quota: whoever had that part may
- * have let a whole burst through a moment ago.
+ * Fraction of the accepted amount that is granted. A margin is left, because
+ * requests that are on their way count later.
  */
-const TAKE_OVER_PART = 0.1;
+const GRANTED_FRACTION = 0.95;
+/** Fraction of the granted amount that is the burst; the rest is the rate. */
+const BURST_FRACTION = 0.1;
+/**
+ * Fraction of the burst that is available at once when the group's fraction of a
+ * quota grows: the entry that had this fraction before may just have granted a
+ * whole burst.
+ */
+const TAKE_OVER_FRACTION = 0.1;
 
-/** What one organisation may use here. */
-type Held = {
+/** Buckets of one organisation. */
+type OrganisationBuckets = {
+  /** What the organisation may use here. */
   bucket: TokenBucket;
-  /** What may still come with parts that are taken over, in any window. */
+  /** What increases of the fraction may still add in a window. */
   takeOvers: TokenBucket;
 };
 
-/** Buckets by organisation; see the module. */
+/** Quotas of all organisations, limited to this group's fraction. */
 export class OrganisationQuotas {
-  readonly #held = new Map<string, Held>();
+  readonly #buckets = new Map<string, OrganisationBuckets>();
   #leeway: QuotaLeeway;
 
   constructor(leeway: QuotaLeeway) {
     this.#leeway = leeway;
   }
 
-  /** Takes over what operators accept; in force with the next `configure`. */
+  /** Sets the accepted leeway, which takes effect with the next `configure`. */
   setLeeway(leeway: QuotaLeeway): void {
     this.#leeway = leeway;
   }
 
-  /** Takes over the quotas in force and this group's part of them, up to 1. */
+  /** Sets the quotas, and the fraction of them, up to 1, that this group uses. */
   configure(
     quotas: ReadonlyMap<string, Quota>,
-    part: number,
+    fraction: number,
     now: number,
   ): void {
-    for (const name of [...this.#held.keys()]) {
-      if (!quotas.has(name)) this.#held.delete(name);
+    for (const name of [...this.#buckets.keys()]) {
+      if (!quotas.has(name)) this.#buckets.delete(name);
     }
     for (const [name, quota] of quotas) {
-      this.#configure(name, quota, part, now);
+      this.#configure(name, quota, fraction, now);
     }
   }
 
   /** True if `tokens` can be charged to the organisation now. */
   allows(organisation: string, tokens: number, now: number): boolean {
-    const held = this.#held.get(organisation);
-    return held?.bucket.allows(tokens, now) ?? true;
+    const buckets = this.#buckets.get(organisation);
+    return buckets?.bucket.allows(tokens, now) ?? true;
   }
 
-  /** Milliseconds until `tokens` can be charged; see {@link TokenBucket}. */
+  /** Milliseconds until `tokens` can be charged; see {@link TokenBucket.waitFor}. */
   waitFor(organisation: string, tokens: number, now: number): number {
-    return this.#held.get(organisation)?.bucket.waitFor(tokens, now) ?? 0;
+    return this.#buckets.get(organisation)?.bucket.waitFor(tokens, now) ?? 0;
   }
 
-  /** Charges `tokens` to the organisation; false if it may not use them now. */
+  /** Charges `tokens` to the organisation; returns false if they aren't available. */
   charge(organisation: string, tokens: number, now: number): boolean {
-    return this.#held.get(organisation)?.bucket.take(tokens, now) ?? true;
+    return this.#buckets.get(organisation)?.bucket.take(tokens, now) ?? true;
   }
 
-  /** Takes a charge back for work that did not run. */
+  /** Refunds the charge of a request that did not run. */
   refund(organisation: string, tokens: number): void {
-    this.#held.get(organisation)?.bucket.giveBack(tokens);
+    this.#buckets.get(organisation)?.bucket.refund(tokens);
   }
 
-  #configure(name: string, quota: Quota, part: number, now: number): void {
+  #configure(name: string, quota: Quota, fraction: number, now: number): void {
     const whole = this.#bounds(quota, 1);
-    const largest = whole.burst * TAKE_OVER_PART;
-    const gain = largest / this.#leeway.window * 1000;
-    let held = this.#held.get(name);
-    if (held === undefined) {
-      held = {
+    const takeOverBurst = whole.burst * TAKE_OVER_FRACTION;
+    const takeOverRate = takeOverBurst / this.#leeway.window * 1000;
+    let buckets = this.#buckets.get(name);
+    if (buckets === undefined) {
+      buckets = {
         bucket: new TokenBucket(0, 0, now),
-        takeOvers: new TokenBucket(gain, largest, now),
+        takeOvers: new TokenBucket(takeOverRate, takeOverBurst, now),
       };
-      this.#held.set(name, held);
+      this.#buckets.set(name, buckets);
     }
-    const { bucket, takeOvers } = held;
-    const { rate, burst, used } = this.#bounds(quota, part);
+    const { bucket, takeOvers } = buckets;
+    const { rate, burst, perWindow } = this.#bounds(quota, fraction);
     const gained = Math.max(0, burst - bucket.burst);
-    takeOvers.configure(gain, largest, now);
-    bucket.configure(rate, burst, now, used);
-    bucket.giveBack(takeOvers.takeUpTo(gained * TAKE_OVER_PART, now));
+    takeOvers.configure(takeOverRate, takeOverBurst, now);
+    bucket.configure(rate, burst, now, perWindow);
+    bucket.refund(takeOvers.takeUpTo(gained * TAKE_OVER_FRACTION, now));
   }
 
-  /** `used`: the most that any window lets through. */
+  /** `perWindow` is the maximum that is granted in any window. */
   #bounds(
     quota: Quota,
-    part: number,
-  ): { rate: number; burst: number; used: number } {
+    fraction: number,
+  ): { rate: number; burst: number; perWindow: number } {
     const { window, overage, slack } = this.#leeway;
-    const stated = quota.ratePerSecond * window / 1000 + quota.burst;
-    const used = (stated * (1 + overage) + slack) * USED_PART * part;
-    const rate = used * (1 - BURST_PART) / window * 1000;
-    return { rate, burst: used * BURST_PART, used };
+    const base = quota.ratePerSecond * window / 1000 + quota.burst;
+    const perWindow = (base * (1 + overage) + slack) * GRANTED_FRACTION *
+      fraction;
+    const rate = perWindow * (1 - BURST_FRACTION) / window * 1000;
+    return { rate, burst: perWindow * BURST_FRACTION, perWindow };
   }
 }
--- a/packages/decisions/src/quotas/token_bucket.ts
+++ b/packages/decisions/src/quotas/token_bucket.ts
@@ -1,23 +1,24 @@
 /**
- * A rate with a burst, filled by the passing of time.
+ * Token bucket that also admits amounts larger than its burst.
  *
- * An amount above the burst could never pass. It may when the full bucket has not
- * been used for as long as the rest of the amount takes to come, and then nothing
- * passes for as long again: any window gets the burst and the rate at the most,
- * whatever the amounts.
+ * In a plain token bucket an amount above the burst is never available. Here a full
+ * bucket that is not used goes on saving tokens, for a single amount only. Taking it
+ * leaves the bucket as far below zero as the amount exceeded the burst, so nothing
+ * more is available for as long as was saved. Any window gets at most the burst and
+ * the rate, whatever the amounts.
  * @module
  */
 
-/** Holds `burst` tokens, more while it is not used, and gains `ratePerSecond`. */
+/** Gains `ratePerSecond` tokens up to `burst`, and more while it is not used. */
 export class TokenBucket {
   #balance: number;
   #filledAt: number;
   #ratePerSecond: number;
   #burst: number;
-  /** Most tokens that an unused bucket saves up for one amount. */
-  #mostSaved: number;
+  /** Maximum number of tokens that an unused bucket saves for one amount. */
+  #maximumSaved: number;
 
-  /** `balance`: what can be taken at once; the burst if absent. */
+  /** `balance` is the number of tokens at the start; the burst if absent. */
   constructor(
     ratePerSecond: number,
     burst: number,
@@ -26,25 +27,25 @@
   ) {
     this.#ratePerSecond = ratePerSecond;
     this.#burst = burst;
-    this.#mostSaved = burst;
+    this.#maximumSaved = burst;
     this.#balance = balance;
     this.#filledAt = now;
   }
 
   /**
-   * Changes the bounds; a balance above the new burst is lost. `mostSaved`: the
-   * largest amount that may pass, if it is above the burst.
+   * Changes the bounds; a balance above the new burst is lost. `maximumSaved` is
+   * the largest amount that can be taken, if it is above the burst.
    */
   configure(
     ratePerSecond: number,
     burst: number,
     now: number,
-    mostSaved = burst,
+    maximumSaved = burst,
   ): void {
     this.#fill(now);
     this.#ratePerSecond = ratePerSecond;
     this.#burst = burst;
-    this.#mostSaved = Math.max(burst, mostSaved);
+    this.#maximumSaved = Math.max(burst, maximumSaved);
     this.#balance = Math.min(this.#balance, burst);
   }
 
@@ -58,14 +59,14 @@
     return this.#burst > 0 && this.#balance >= amount;
   }
 
-  /** Takes `amount`; false, and nothing taken, when the balance is short. */
+  /** Takes `amount`; returns false and takes nothing if the balance is too low. */
   take(amount: number, now: number): boolean {
     if (!this.allows(amount, now)) return false;
     this.#balance = Math.min(this.#balance, this.#burst) - amount;
     return true;
   }
 
-  /** Takes `amount`, or what there is; the result is what was taken. */
+  /** Takes `amount`, or the whole balance if it is lower; returns what was taken. */
   takeUpTo(amount: number, now: number): number {
     this.#fill(now);
     const balance = Math.min(this.#balance, this.#burst);
@@ -74,15 +75,15 @@
     return taken;
   }
 
-  /** Gives back what was taken for work that did not run. */
-  giveBack(amount: number): void {
+  /** Returns tokens that were taken for work that did not run, up to the burst. */
+  refund(amount: number): void {
     const balance = Math.min(this.#burst, this.#balance + amount);
     this.#balance = Math.max(this.#balance, balance);
   }
 
   /**
-   * Milliseconds until `amount` can be taken, if nothing else is; 0 while nothing
-   * is gained, since nobody can tell.
+   * Milliseconds until `amount` can be taken, if nothing else is taken before. 0 if
+   * the rate is zero, since the wait is unknown then.
    */
   waitFor(amount: number, now: number): number {
     this.#fill(now);
@@ -95,6 +96,6 @@
     const elapsed = Math.max(0, now - this.#filledAt);
     this.#filledAt = now;
     const gained = elapsed / 1000 * this.#ratePerSecond;
-    this.#balance = Math.min(this.#mostSaved, this.#balance + gained);
+    this.#balance = Math.min(this.#maximumSaved, this.#balance + gained);
   }
 }
--- a/packages/decisions/src/server_limits/mod.ts
+++ b/packages/decisions/src/server_limits/mod.ts
@@ -1,5 +1,5 @@
-/** Request rates that backend servers state for all entries together. @module */
-export { LimitedPace, pacedRate } from "./server_rate_limiter.ts";
+/** Rate limits that backend servers state for all entries together. @module */
+export { allowedRate, ServerRateLimiter } from "./server_rate_limiter.ts";
 export { ServerLimits } from "./server_limits.ts";
 export { parseServerLimit } from "./parse_server_limit.ts";
 export type {
--- a/packages/decisions/src/server_limits/parse_server_limit.ts
+++ b/packages/decisions/src/server_limits/parse_server_limit.ts
@@ -1,13 +1,14 @@
-/** Reads a server's limit from the header of an answer. @module */
+/** Parses the rate limit that a server states in a response header. @module */
 import { Result } from "true-myth/result";
 
+/** A decimal number without a sign or an exponent. */
 const DECIMAL = /^\d+(\.\d+)?$/;
-/** Characters of an unreadable value that are logged. */
-const LONGEST_QUOTE = 64;
+/** Maximum number of characters of a malformed value that are logged. */
+const MAXIMUM_LOGGED_LENGTH = 64;
 
 /**
- * Requests a second; `undefined` without a header. The error is the value, where
- * it is no decimal number.
+ * Returns the limit in requests per second, or `undefined` without a header. The
+ * error is the value itself, if it is not a decimal number.
  */
 export function parseServerLimit(
   value: string | string[] | undefined,
@@ -16,5 +17,5 @@
   const text = String(value).trim();
   const number = Number(text);
   if (DECIMAL.test(text) && Number.isFinite(number)) return Result.ok(number);
-  return Result.err(text.slice(0, LONGEST_QUOTE));
+  return Result.err(text.slice(0, MAXIMUM_LOGGED_LENGTH));
 }
--- a/packages/decisions/src/server_limits/server_limits.ts
+++ b/packages/decisions/src/server_limits/server_limits.ts
@@ -1,40 +1,41 @@
 /**
- * Request rates that backend servers say they accept from all entries together.
+ * Rate limits that backend servers state for all entries together.
  *
- * Each entry sees only the answers to its own requests, and what it observes
- * reaches others late and out of order. Of two observations of a server the newer
- * one holds; the end of a limit is remembered too, or an older observation would
- * put it in force again.
+ * Each entry observes only the responses to its own requests, and its observations
+ * reach other entries late and out of order. Of two observations of a server the
+ * newer one counts. The end of a limit is remembered too, because otherwise an older
+ * observation would reinstate the limit.
  * @module
  */
 
-/** Servers that are remembered; the one with the oldest observation is dropped. */
-const MOST_SERVERS = 4096;
+/** Maximum number of servers; the one with the oldest observation is evicted. */
+const MAXIMUM_SERVERS = 4096;
 
-/** What an answer of a server said of its limit. */
+/** What a response of a server stated about its limit. */
 export type LimitObservation = {
-  /** Requests a second; `undefined`: the answer stated no limit. */
+  /** Requests per second; `undefined` if the response stated no limit. */
   perSecond: number | undefined;
-  /** The entry that got the answer. */
+  /** The entry that received the response. */
   by: string;
   /**
-   * Milliseconds: when the limit was heard, or when the request was sent whose
-   * answer stated none. Earlier answers may have been under way already.
+   * Time in milliseconds at which the limit was received. If the response stated no
+   * limit, the time at which its request was sent: the response may have been on its
+   * way already when others stated a limit.
    */
   observedAt: number;
 };
 
-/** A limit in force. */
+/** A limit that is in force. */
 export type ServerLimit = LimitObservation & { perSecond: number };
 
-/** What an observation changed. */
+/** Effect of an observation on the known limit. */
 export type LimitChange = "changed" | "confirmed" | "nothing";
 
-/** The newest observation of each server, by incarnation; see the module. */
+/** The newest observation of each server, by incarnation. */
 export class ServerLimits {
   readonly #latest = new Map<string, LimitObservation>();
 
-  /** The limit in force, if the server states one. */
+  /** Returns the limit in force, if the server states one. */
   find(server: string): ServerLimit | undefined {
     const observation = this.#latest.get(server);
     return observation !== undefined && isLimit(observation)
@@ -42,7 +43,7 @@
       : undefined;
   }
 
-  /** Takes over an observation, unless a newer one is known. */
+  /** Records an observation, unless a newer one is known. */
   observe(server: string, observation: LimitObservation): LimitChange {
     const known = this.#latest.get(server);
     if (known === undefined && !isLimit(observation)) return "nothing";
@@ -51,20 +52,20 @@
     }
     this.#latest.delete(server);
     this.#latest.set(server, observation);
-    this.#forgetOldest();
+    this.#evictOldest();
     if (known?.perSecond !== observation.perSecond) return "changed";
     return isLimit(observation) ? "confirmed" : "nothing";
   }
 
-  /** Servers and their limits in force. */
+  /** Yields the servers that have a limit in force, with their limits. */
   *activeLimits(): Generator<[string, ServerLimit]> {
     for (const [server, observation] of this.#latest) {
       if (isLimit(observation)) yield [server, observation];
     }
   }
 
-  #forgetOldest(): void {
-    if (this.#latest.size <= MOST_SERVERS) return;
+  #evictOldest(): void {
+    if (this.#latest.size <= MAXIMUM_SERVERS) return;
     const [oldest] = this.#latest.keys();
     if (oldest !== undefined) this.#latest.delete(oldest);
   }
--- a/packages/decisions/src/server_limits/server_rate_limiter.ts
+++ b/packages/decisions/src/server_limits/server_rate_limiter.ts
@@ -1,50 +1,53 @@
 /**
- * Paces the requests to one server by the limit that it states.
+ * Limits the rate of requests to one server by the limit that the server states.
  *
- * It starts without a token: whoever granted before may have used up the limit
- * a moment ago. Tokens for a tenth of a second are kept, one at least, so that in
- * any span the server gets the limit for its length and little more.
+ * It starts without tokens, since another entry that granted before may just have
+ * used up the limit. The burst is a tenth of a second, but at least one token, so
+ * that in any period the server gets little more than its limit.
  * @module
  */
 import { TokenBucket } from "../quotas/mod.ts";
 
-/** Seconds of a limit that may be used at once. */
+/** Burst, in seconds of the limit. */
 const BURST_SECONDS = 0.1;
-/** Requests a second at the least: only an answer can tell that a limit ended. */
-const LEAST_RATE = 0.2;
+/**
+ * Minimum requests per second, also under a lower limit: only a response can show
+ * that the limit has ended.
+ */
+const MINIMUM_RATE = 0.2;
 
-/** Times in milliseconds. */
-export class LimitedPace {
+/** Token bucket for one server; times are in milliseconds. */
+export class ServerRateLimiter {
   readonly #bucket: TokenBucket;
-  #part = 0;
+  #fraction = 0;
 
   constructor(now: number) {
     this.#bucket = new TokenBucket(0, 0, now);
   }
 
-  /** `part`: of the limit, up to 1, that is granted from here. */
-  configure(perSecond: number, part: number, now: number): void {
-    const rate = pacedRate(perSecond, part);
-    this.#part = part;
+  /** Sets the limit, and the fraction of it, up to 1, that is granted here. */
+  configure(perSecond: number, fraction: number, now: number): void {
+    const rate = allowedRate(perSecond, fraction);
+    this.#fraction = fraction;
     this.#bucket.configure(rate, Math.max(1, rate * BURST_SECONDS), now);
   }
 
   allows(now: number): boolean {
-    return this.#part > 0 && this.#bucket.allows(1, now);
+    return this.#fraction > 0 && this.#bucket.allows(1, now);
   }
 
-  /** Counts a request that is sent. */
+  /** Takes a token for a request that is sent. */
   take(now: number): void {
     this.#bucket.take(1, now);
   }
 
-  /** A request reached no server. */
-  giveBack(): void {
-    this.#bucket.giveBack(1);
+  /** Returns the token of a request that did not reach the server. */
+  refund(): void {
+    this.#bucket.refund(1);
   }
 }
 
-/** Requests a second that are granted under a limit. */
-export function pacedRate(perSecond: number, part: number): number {
-  return Math.max(perSecond, LEAST_RATE) * part;
+/** Requests per second that may be granted under a limit. */
+export function allowedRate(perSecond: number, fraction: number): number {
+  return Math.max(perSecond, MINIMUM_RATE) * fraction;
 }
--- a/packages/decisions/test/server_limits_test.ts
+++ b/packages/decisions/test/server_limits_test.ts
@@ -1,16 +1,16 @@
 import fc from "fast-check";
 import t from "tap";
-import { LimitedPace, ServerLimits } from "../src/mod.ts";
+import { ServerLimits, ServerRateLimiter } from "../src/mod.ts";
 import type { LimitObservation } from "../src/mod.ts";
 
 function observed(
   perSecond: number | undefined,
   observedAt: number,
 ): LimitObservation {
-  return { perSecond, by: "entry", observedAt: observedAt };
+  return { perSecond, by: "entry", observedAt };
 }
 
-t.test("the newer observation holds", (t) => {
+t.test("the newer observation counts", (t) => {
   const limits = new ServerLimits();
   t.equal(limits.observe("s@1", observed(2, 100)), "changed");
   t.equal(limits.observe("s@1", observed(3, 90)), "nothing");
@@ -22,7 +22,7 @@
   t.end();
 });
 
-t.test("an answer that was under way does not end a limit", (t) => {
+t.test("a response that was already on its way does not end a limit", (t) => {
   const limits = new ServerLimits();
   limits.observe("s@1", observed(2, 100));
   t.equal(limits.observe("s@1", observed(undefined, 60)), "nothing");
@@ -33,7 +33,7 @@
   t.end();
 });
 
-t.test("a late observation does not revive a limit that ended", (t) => {
+t.test("an older observation does not reinstate a limit that has ended", (t) => {
   const limits = new ServerLimits();
   limits.observe("s@1", observed(2, 100));
   limits.observe("s@1", observed(undefined, 130));
@@ -43,50 +43,53 @@
   t.end();
 });
 
-t.test("servers without a limit are not remembered", (t) => {
+t.test("observations of servers without a limit are not stored", (t) => {
   const limits = new ServerLimits();
   t.equal(limits.observe("s@1", observed(undefined, 10)), "nothing");
   t.equal(limits.observe("s@1", observed(2, 5)), "changed");
   t.end();
 });
 
-/** Milliseconds between two looks of a granting entry. */
-const LOOK_EVERY = 10;
+/** Milliseconds between two decisions of a granting entry. */
+const DECISION_INTERVAL = 10;
 
-/** Sends as often as allowed; `takeOvers`: another entry grants from then on. */
-function sends(perSecond: number, takeOvers: readonly number[]): number[] {
+/**
+ * Sends as often as allowed, and returns the times. At each of `takeOvers` another
+ * entry starts to grant.
+ */
+function sendTimes(perSecond: number, takeOvers: readonly number[]): number[] {
   const sent: number[] = [];
-  let pace = new LimitedPace(0);
-  for (let now = 0; now < 12_000; now += LOOK_EVERY) {
-    if (takeOvers.some((at) => at >= now && at < now + LOOK_EVERY)) {
-      pace = new LimitedPace(now);
+  let limiter = new ServerRateLimiter(0);
+  for (let now = 0; now < 12_000; now += DECISION_INTERVAL) {
+    if (takeOvers.some((at) => at >= now && at < now + DECISION_INTERVAL)) {
+      limiter = new ServerRateLimiter(now);
     }
-    pace.configure(perSecond, 1, now);
-    while (pace.allows(now)) {
-      pace.take(now);
+    limiter.configure(perSecond, 1, now);
+    while (limiter.allows(now)) {
+      limiter.take(now);
       sent.push(now);
     }
   }
   return sent;
 }
 
-/** By the stated rule: half more than the limit and five, in 4 s. */
+/** Accepted in a window of 4 s: half more than the limit, and five requests. */
 const WINDOW = 4000;
-function acceptedOf(perSecond: number): number {
+function acceptedRequests(perSecond: number): number {
   return perSecond * WINDOW / 1000 * 1.5 + 5;
 }
 
-t.test("no window passes what a server takes, whoever grants", (t) => {
+t.test("take-overs do not exceed what a server accepts in any window", (t) => {
   const limit = fc.double({ min: 0, max: 60, noNaN: true });
-  const moments = fc.array(fc.integer({ min: 0, max: 12_000 }), {
+  const times = fc.array(fc.integer({ min: 0, max: 12_000 }), {
     maxLength: 12,
   });
   fc.assert(
-    fc.property(limit, moments, (perSecond, takeOvers) => {
-      const sent = sends(perSecond, takeOvers);
+    fc.property(limit, times, (perSecond, takeOvers) => {
+      const sent = sendTimes(perSecond, takeOvers);
       for (const from of sent) {
-        const inside = sent.filter((at) => at >= from && at < from + WINDOW);
-        if (inside.length > acceptedOf(perSecond)) return false;
+        const inWindow = sent.filter((at) => at >= from && at < from + WINDOW);
+        if (inWindow.length > acceptedRequests(perSecond)) return false;
       }
       return true;
     }),
@@ -95,38 +98,38 @@
   t.end();
 });
 
-t.test("a limited server gets what it takes", (t) => {
+t.test("a limited server is sent most of its limit", (t) => {
   for (const perSecond of [0.5, 1, 2.4, 20, 300]) {
-    const part = sends(perSecond, []).length / (perSecond * 12);
-    t.ok(part > 0.8, `${part} of ${perSecond} a second`);
-    t.ok(part <= 1.01, `${part} of ${perSecond} a second`);
+    const fraction = sendTimes(perSecond, []).length / (perSecond * 12);
+    t.ok(fraction > 0.8, `${fraction} of ${perSecond} per second`);
+    t.ok(fraction <= 1.01, `${fraction} of ${perSecond} per second`);
   }
   t.end();
 });
 
-t.test("a limit of zero still lets a request find out its end", (t) => {
-  const sent = sends(0, []);
+t.test("under a limit of zero single requests are sent to detect its end", (t) => {
+  const sent = sendTimes(0, []);
   t.ok(sent.length >= 2, `${sent.length} in 12 s`);
   t.ok(sent.length <= 3, `${sent.length} in 12 s`);
   t.end();
 });
 
-t.test("a lowered limit binds at once", (t) => {
-  const pace = new LimitedPace(0);
-  pace.configure(100, 1, 0);
-  t.ok(pace.allows(1000));
-  pace.configure(1, 1, 1000);
-  pace.take(1000);
-  t.notOk(pace.allows(1100));
-  t.ok(pace.allows(2000));
+t.test("a lowered limit applies at once", (t) => {
+  const limiter = new ServerRateLimiter(0);
+  limiter.configure(100, 1, 0);
+  t.ok(limiter.allows(1000));
+  limiter.configure(1, 1, 1000);
+  limiter.take(1000);
+  t.notOk(limiter.allows(1100));
+  t.ok(limiter.allows(2000));
   t.end();
 });
 
-t.test("without a part of the limit nothing is sent", (t) => {
-  const pace = new LimitedPace(0);
-  pace.configure(10, 1, 0);
-  t.ok(pace.allows(1000));
-  pace.configure(10, 0, 1000);
-  t.notOk(pace.allows(5000));
+t.test("a group without a fraction of the limit sends nothing", (t) => {
+  const limiter = new ServerRateLimiter(0);
+  limiter.configure(10, 1, 0);
+  t.ok(limiter.allows(1000));
+  limiter.configure(10, 0, 1000);
+  t.notOk(limiter.allows(5000));
   t.end();
 });
--- a/packages/decisions/test/size_fairness_test.ts
+++ b/packages/decisions/test/size_fairness_test.ts
@@ -1,72 +1,77 @@
 import t from "tap";
 import { RecentQuantiles } from "../src/estimates/recent_quantiles.ts";
-import { nominalUse } from "../src/dispatch/latency_ratio.ts";
-import { SizeShares } from "../src/dispatch/size_fairness.ts";
+import { nominalSlotTime } from "../src/dispatch/latency_ratio.ts";
+import { SizeFairness } from "../src/dispatch/size_fairness.ts";
 import type { Cost } from "../src/mod.ts";
 
-const KIND = "0.0";
-const USE = 2000;
+const PRIORITY_CLASS = "0.0";
+/** Slot time of granted requests in milliseconds. */
+const SLOT_TIME = 2000;
 
 function costOf(outputTokens: number): Cost {
   return { promptTokens: 100, outputTokens };
 }
 
-/** Asks of 1 to 100 tokens; those up to `granted` are granted. */
-function askAll(shares: SizeShares, granted: number): void {
+/** Records requests of 1 to 100 tokens; grants those of up to `granted` tokens. */
+function recordAll(fairness: SizeFairness, granted: number): void {
   for (let tokens = 1; tokens <= 100; tokens++) {
-    const asked = shares.asked(KIND, costOf(tokens), false);
-    if (tokens <= granted) shares.granted(asked, USE);
+    const requestClass = fairness.recordRequest(
+      PRIORITY_CLASS,
+      costOf(tokens),
+      false,
+    );
+    if (tokens <= granted) fairness.recordGrant(requestClass, SLOT_TIME);
   }
 }
 
-t.test("a class served as often as its kind keeps its value", (t) => {
-  const shares = new SizeShares();
-  askAll(shares, 100);
-  askAll(shares, 100);
+t.test("requests of a size class that is served often enough keep their value", (t) => {
+  const fairness = new SizeFairness();
+  recordAll(fairness, 100);
+  recordAll(fairness, 100);
   const large = costOf(100);
-  const asked = shares.asked(KIND, large, false);
-  t.equal(asked.sizeClass, "largest");
-  t.equal(shares.valueOf(asked, large, 2), 2);
+  const requestClass = fairness.recordRequest(PRIORITY_CLASS, large, false);
+  t.equal(requestClass.sizeClass, "largest");
+  t.equal(fairness.valueOf(requestClass, large, 2), 2);
   t.end();
 });
 
-t.test("a starved class is ordered like asks that are granted", (t) => {
-  const shares = new SizeShares();
-  askAll(shares, 100);
-  for (let round = 0; round < 10; round++) askAll(shares, 60);
+t.test("requests of a starved size class are ordered like granted requests", (t) => {
+  const fairness = new SizeFairness();
+  recordAll(fairness, 100);
+  for (let round = 0; round < 10; round++) recordAll(fairness, 60);
   const large = costOf(100);
-  const asked = shares.asked(KIND, large, false);
-  const value = shares.valueOf(asked, large, 0.01);
-  t.equal(nominalUse(large) / value, USE);
+  const requestClass = fairness.recordRequest(PRIORITY_CLASS, large, false);
+  const value = fairness.valueOf(requestClass, large, 0.01);
+  t.equal(nominalSlotTime(large) / value, SLOT_TIME);
   const small = costOf(5);
-  const usual = shares.asked(KIND, small, false);
-  t.equal(shares.valueOf(usual, small, 0.01), 0.01);
+  const usualClass = fairness.recordRequest(PRIORITY_CLASS, small, false);
+  t.equal(fairness.valueOf(usualClass, small, 0.01), 0.01);
   t.end();
 });
 
-t.test("a class is counted by kind", (t) => {
-  const shares = new SizeShares();
-  askAll(shares, 100);
-  for (let round = 0; round < 10; round++) askAll(shares, 60);
+t.test("size classes are counted by priority class", (t) => {
+  const fairness = new SizeFairness();
+  recordAll(fairness, 100);
+  for (let round = 0; round < 10; round++) recordAll(fairness, 60);
   const large = costOf(100);
-  const other = shares.asked("0.1", large, false);
-  t.equal(shares.valueOf(other, large, 0.01), 0.01);
+  const otherClass = fairness.recordRequest("0.1", large, false);
+  t.equal(fairness.valueOf(otherClass, large, 0.01), 0.01);
   t.end();
 });
 
-t.test("a return does not count as a second ask", (t) => {
-  const shares = new SizeShares();
-  askAll(shares, 100);
-  for (let again = 0; again < 200; again++) {
-    shares.asked(KIND, costOf(100), true);
+t.test("a retry is not counted as a second request", (t) => {
+  const fairness = new SizeFairness();
+  recordAll(fairness, 100);
+  for (let retry = 0; retry < 200; retry++) {
+    fairness.recordRequest(PRIORITY_CLASS, costOf(100), true);
   }
   const large = costOf(100);
-  const asked = shares.asked(KIND, large, false);
-  t.equal(shares.valueOf(asked, large, 0.01), 0.01);
+  const requestClass = fairness.recordRequest(PRIORITY_CLASS, large, false);
+  t.equal(fairness.valueOf(requestClass, large, 0.01), 0.01);
   t.end();
 });
 
-t.test("quantiles follow the latest values", (t) => {
+t.test("quantiles follow the most recent values", (t) => {
   const quantiles = new RecentQuantiles();
   t.equal(quantiles.value(0.9), undefined);
   for (let value = 1; value <= 11; value++) quantiles.add(value);
