--- a/packages/decisions/test/burst_test.ts
+++ b/packages/decisions/test/burst_test.ts
@@ -4,55 +4,61 @@
 import { serverRecord } from "./server_record.ts";
 
 /*
- * Six engines of two places; for four seconds twice as many requests arrive as
- * they can run, their lengths spread as callers' are (a median of 160 tokens, one
- * in ten over 800). What callers get on time is counted.
- * Measured: 136 of 400 in order of arrival, 216 by expected time.
+ * Six engines with two slots each. For four seconds requests arrive at twice their
+ * capacity, with log-normal lengths: a median of 160 tokens, one in ten over 800. Of
+ * 400 requests 136 are on time in order of arrival, and 216 by expected time.
  */
 
 const SERVERS = 6;
-const PLACES = 2;
-const ARRIVALS = 400;
+/** Slots of each server. */
+const SLOTS = 2;
+const REQUESTS = 400;
+/** Milliseconds between two requests. */
 const SPACING = 10;
+/** Milliseconds per output token. */
 const TIME_PER_TOKEN = 1;
 
-/** Lengths of a lognormal spread, in a fixed mixed order. */
+/** Returns log-normal lengths in tokens, in a fixed shuffled order. */
 function lengthOf(index: number): number {
-  const position = ((index * 7919) % ARRIVALS + 0.5) / ARRIVALS;
+  const position = ((index * 7919) % REQUESTS + 0.5) / REQUESTS;
   const normal = Math.log(position / (1 - position)) / 1.7;
   return Math.round(160 * Math.exp(1.1 * normal));
 }
 
-function onTime(estimate: (tokens: number) => number): number {
-  const desk = new ServiceScheduler();
-  desk.setServers(
+function countOnTime(estimate: (tokens: number) => number): number {
+  const scheduler = new ServiceScheduler();
+  scheduler.setServers(
     Array.from(
       { length: SERVERS },
-      (_, index) => serverRecord(`s${index}`, { slots: PLACES }),
+      (_, index) => serverRecord(`s${index}`, { slots: SLOTS }),
     ),
   );
   const ends: { at: number; id: string }[] = [];
-  let served = 0;
-  for (let now = 0; now < ARRIVALS * SPACING + 3000; now += 5) {
+  let onTime = 0;
+  for (let now = 0; now < REQUESTS * SPACING + 3000; now += 5) {
     const index = now / SPACING;
-    if (now % SPACING === 0 && index < ARRIVALS) {
-      desk.submit(askOf(index, estimate(lengthOf(index)), now), now);
+    if (now % SPACING === 0 && index < REQUESTS) {
+      scheduler.submit(requestOf(index, estimate(lengthOf(index)), now), now);
     }
     for (const end of ends.filter(({ at }) => at === now)) {
-      desk.recordEnd(end.id, "answered", now);
+      scheduler.recordEnd(end.id, "answered", now);
     }
-    for (const verdict of desk.decide(now)) {
-      if (verdict.kind !== "grant") continue;
-      if (now + 70 <= verdict.request.latencyGoalAt) served++;
-      const length = lengthOf(Number(verdict.request.id));
+    for (const decision of scheduler.decide(now)) {
+      if (decision.kind !== "grant") continue;
+      if (now + 70 <= decision.request.latencyGoalAt) onTime++;
+      const length = lengthOf(Number(decision.request.id));
       const time = 70 + length * TIME_PER_TOKEN;
-      ends.push({ at: now + Math.ceil(time / 5) * 5, id: verdict.request.id });
+      ends.push({ at: now + Math.ceil(time / 5) * 5, id: decision.request.id });
     }
   }
-  return served;
+  return onTime;
 }
 
-function askOf(index: number, outputTokens: number, now: number): GrantRequest {
+function requestOf(
+  index: number,
+  outputTokens: number,
+  now: number,
+): GrantRequest {
   return {
     id: String(index),
     entry: "entry",
@@ -73,9 +79,9 @@
   };
 }
 
-t.test("a burst of twice the places: more callers are served on time", (t) => {
-  const byArrival = onTime(() => 200);
-  const byLength = onTime((tokens) => tokens);
+t.test("in a burst at twice the capacity, ordering by length serves 30 % more on time", (t) => {
+  const byArrival = countOnTime(() => 200);
+  const byLength = countOnTime((tokens) => tokens);
   t.comment(`on time: ${byArrival} in order of arrival, ${byLength} by length`);
   t.ok(byLength >= byArrival * 1.3, `${byLength} against ${byArrival}`);
   t.end();
--- a/packages/decisions/test/fleet_simulation.ts
+++ b/packages/decisions/test/fleet_simulation.ts
@@ -1,7 +1,8 @@
 /**
- * Plays a load against one desk and engines in virtual time, and counts what
- * callers get. Engines read prompts in between the steps of all that they run, as
- * batching engines do; callers that are refused come back once, as told.
+ * Simulates callers, one group scheduler and engines in virtual time, and counts the
+ * results of requests. Like real batching engines, the engines interleave prefill
+ * with the decoding of all their requests. Refused callers retry once, after the
+ * delay they were given.
  * @module
  */
 import { uniformInt } from "pure-rand/distribution/uniformInt";
@@ -15,105 +16,108 @@
 
 /** Milliseconds of one step of the simulation. */
 const TICK = 5;
-/** Milliseconds of an engine's step for one token of each answer that it runs. */
+/** Milliseconds of an engine's step, which generates one token per request. */
 const STEP = 4;
+/** Prefill speed of an engine at speed 1. */
 const PROMPT_TOKENS_PER_MILLISECOND = 112;
-/** Milliseconds from sending to a first token, without any prompt. */
+/** Milliseconds from sending to the first token, without the prefill. */
 const FIRST_TOKEN = 47;
+/** Number of distinct random values. */
 const UNIFORM_RANGE = 1 << 24;
 
-/** One kind of request of a load. */
-export type LoadKind = {
+/** Properties of the requests of one kind, and their rate. */
+export type RequestProfile = {
   name: string;
   service: string;
   tierRank: number;
   routeRank: number;
   organisation: string;
-  /** Requests a second at `now`. */
+  /** Requests per second at `now`. */
   rate: (now: number) => number;
-  /** Milliseconds: to the first answer on time, and to the caller's deadline. */
-  goal: number;
-  patience: number;
+  /** Milliseconds until the response must start, a grant expires, all must end. */
+  latencyGoal: number;
+  maximumWait: number;
   deadline: number;
-  /** Medians in tokens, and the spread of both (of a lognormal distribution). */
+  /** Log-normal sizes in tokens: medians, and the deviation of the logarithms. */
   prompt: number;
   output: number;
   spread: number;
 };
 
-/** What the callers of one kind got. */
-export type LoadResult = {
-  asked: number;
+/** Numbers of requests of one profile, by result. */
+export type ProfileResult = {
+  sent: number;
   onTime: number;
   late: number;
   refused: number;
-  /** Refused at first, and again when they came back. */
+  /** Refused at first and at the retry. */
   refusedTwice: number;
 };
 
-type Running = {
-  ask: GrantRequest;
+type Run = {
+  request: GrantRequest;
   call: Call;
   startedAt: number;
-  unread: number;
-  left: number;
-  firstAt: number | undefined;
+  pendingPrefillTokens: number;
+  remainingTokens: number;
+  firstTokenAt: number | undefined;
 };
 
-/** A caller's request; `outcome` is shared by its retries. */
+/** A caller's request; a retry has the same `outcome` object. */
 export type Call = {
-  kind: LoadKind;
+  profile: RequestProfile;
   cost: Cost;
-  bornAt: number;
-  returned: boolean;
-  /** `served` is true once the answer is complete. */
+  arrivedAt: number;
+  isRetry: boolean;
+  /** `served` is true once the response is complete. */
   outcome: { served: boolean };
 };
 
 type Engine = {
   name: string;
   speed: number;
-  running: Running[];
+  running: Run[];
+  /** Milliseconds of engine time not used yet. */
   credit: number;
 };
 
-/** A uniform number in [0, 1) for each call, the same for each seed. */
-export function draws(seed: number): () => number {
+/** Returns a source of uniform numbers in [0, 1), reproducible by its seed. */
+export function uniformSource(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   return () => uniformInt(generator, 0, UNIFORM_RANGE - 1) / UNIFORM_RANGE;
 }
 
-/** See the module. */
-export class VirtualFleet {
-  readonly results = new Map<string, LoadResult>();
-  /** Every grant: when, for whom and for how many tokens of its quota. */
+/** Runs one simulation; results are available afterwards. */
+export class FleetSimulation {
+  readonly results = new Map<string, ProfileResult>();
+  /** All grants: time, organisation, and tokens charged to its quota. */
   readonly grants: { at: number; organisation: string; charge: number }[] = [];
   /** All requests in order of arrival, without retries. */
   readonly requests: Call[] = [];
-  readonly #desk: GroupScheduler;
-  readonly #kinds: readonly LoadKind[];
+  readonly #scheduler: GroupScheduler;
+  readonly #profiles: readonly RequestProfile[];
   readonly #engines = new Map<string, Engine>();
   readonly #calls = new Map<string, Call>();
-  readonly #returns: { at: number; call: Call }[] = [];
-  readonly #draw: () => number;
-  #number = 0;
+  readonly #retries: { at: number; call: Call }[] = [];
+  readonly #random: () => number;
+  #lastNumber = 0;
 
   constructor(options: {
-    desk: GroupScheduler;
-    kinds: readonly LoadKind[];
-    /** By the name that the desk grants them under. */
+    scheduler: GroupScheduler;
+    profiles: readonly RequestProfile[];
+    /** Speeds of the engines, by server incarnation. */
     speeds: ReadonlyMap<string, number>;
     seed: number;
   }) {
-    this.#desk = options.desk;
-    this.#kinds = options.kinds;
-    this.#draw = draws(options.seed);
+    this.#scheduler = options.scheduler;
+    this.#profiles = options.profiles;
+    this.#random = uniformSource(options.seed);
     for (const [name, speed] of options.speeds) {
       this.#engines.set(name, { name, speed, running: [], credit: 0 });
     }
-    for (const { name } of options.kinds) {
+    for (const { name } of options.profiles) {
       const none = {
-        asked: 0,
+        sent: 0,
         onTime: 0,
         late: 0,
         refused: 0,
@@ -123,103 +127,105 @@
     }
   }
 
-  /** Plays from 0 to `end`, and until nothing runs any more. */
-  play(end: number): void {
+  /** Sends requests from 0 to `end`, and runs until all of them have ended. */
+  run(end: number): void {
     for (let now = 0; now < end || this.#calls.size > 0; now += TICK) {
       if (now < end) this.#arrive(now);
-      this.#comeBack(now);
+      this.#retry(now);
       for (const engine of this.#engines.values()) this.#step(engine, now);
-      for (const verdict of this.#desk.decide(now)) this.#take(verdict, now);
+      for (const decision of this.#scheduler.decide(now)) {
+        this.#apply(decision, now);
+      }
     }
   }
 
   #arrive(now: number): void {
-    for (const kind of this.#kinds) {
-      if (this.#draw() >= kind.rate(now) * TICK / 1000) continue;
-      this.results.get(kind.name)!.asked++;
+    for (const profile of this.#profiles) {
+      if (this.#random() >= profile.rate(now) * TICK / 1000) continue;
+      this.results.get(profile.name)!.sent++;
       const cost = {
-        promptTokens: this.#size(kind.prompt, kind.spread),
-        outputTokens: this.#size(kind.output, kind.spread),
+        promptTokens: this.#size(profile.prompt, profile.spread),
+        outputTokens: this.#size(profile.output, profile.spread),
       };
       const outcome = { served: false };
-      const call = { kind, cost, bornAt: now, returned: false, outcome };
+      const call = { profile, cost, arrivedAt: now, isRetry: false, outcome };
       this.requests.push(call);
-      this.#ask(call, now);
+      this.#submit(call, now);
     }
   }
 
   #size(median: number, spread: number): number {
-    const normal = Math.sqrt(-2 * Math.log(1 - this.#draw())) *
-      Math.cos(2 * Math.PI * this.#draw());
+    const normal = Math.sqrt(-2 * Math.log(1 - this.#random())) *
+      Math.cos(2 * Math.PI * this.#random());
     const size = median * Math.exp(spread * normal);
     return Math.round(Math.min(median * 12, Math.max(1, size)));
   }
 
-  #comeBack(now: number): void {
-    for (let index = this.#returns.length - 1; index >= 0; index--) {
-      const { at, call } = this.#returns[index]!;
+  #retry(now: number): void {
+    for (let index = this.#retries.length - 1; index >= 0; index--) {
+      const { at, call } = this.#retries[index]!;
       if (at > now) continue;
-      this.#returns.splice(index, 1);
-      this.#ask({ ...call, returned: true }, now);
+      this.#retries.splice(index, 1);
+      this.#submit({ ...call, isRetry: true }, now);
     }
   }
 
-  #ask(call: Call, now: number): void {
-    const { kind, cost } = call;
-    const id = `ask-${++this.#number}`;
-    const endsAt = call.bornAt + kind.deadline;
-    const ask: GrantRequest = {
+  #submit(call: Call, now: number): void {
+    const { profile, cost } = call;
+    const id = `request-${++this.#lastNumber}`;
+    const deadline = call.arrivedAt + profile.deadline;
+    const request: GrantRequest = {
       id,
       entry: "entry",
-      service: kind.service,
-      tierRank: kind.tierRank,
-      routeRank: kind.routeRank,
-      organisation: kind.organisation,
+      service: profile.service,
+      tierRank: profile.tierRank,
+      routeRank: profile.routeRank,
+      organisation: profile.organisation,
       dataCentre: "a",
       cost,
       charge: cost.promptTokens + cost.outputTokens,
       arrived: now,
-      latencyGoalAt: now + kind.goal,
-      expiresAt: now + Math.min(kind.patience, (endsAt - now) / 4),
-      deadline: endsAt,
-      fingerprint: `${kind.name}-${call.bornAt}`,
-      jitter: this.#draw(),
+      latencyGoalAt: now + profile.latencyGoal,
+      expiresAt: now + Math.min(profile.maximumWait, (deadline - now) / 4),
+      deadline,
+      fingerprint: `${profile.name}-${call.arrivedAt}`,
+      jitter: this.#random(),
       excludedServers: [],
     };
     this.#calls.set(id, call);
-    const verdict = this.#desk.submit(ask, now);
-    if (verdict !== undefined) this.#take(verdict, now);
+    const decision = this.#scheduler.submit(request, now);
+    if (decision !== undefined) this.#apply(decision, now);
   }
 
-  #take(verdict: GrantDecision, now: number): void {
-    const { request: ask } = verdict;
-    const call = this.#calls.get(ask.id)!;
-    if (verdict.kind === "refuse") {
-      this.#calls.delete(ask.id);
-      this.#refused(call, verdict.retryAfter, now);
+  #apply(decision: GrantDecision, now: number): void {
+    const { request } = decision;
+    const call = this.#calls.get(request.id)!;
+    if (decision.kind === "refuse") {
+      this.#calls.delete(request.id);
+      this.#recordRefusal(call, decision.retryAfter, now);
       return;
     }
-    const { organisation, charge, cost } = ask;
+    const { organisation, charge, cost } = request;
     this.grants.push({ at: now, organisation, charge });
-    this.#engines.get(verdict.server)!.running.push({
-      ask,
+    this.#engines.get(decision.server)!.running.push({
+      request,
       call,
       startedAt: now,
-      unread: cost.promptTokens,
-      left: cost.outputTokens,
-      firstAt: undefined,
+      pendingPrefillTokens: cost.promptTokens,
+      remainingTokens: cost.outputTokens,
+      firstTokenAt: undefined,
     });
   }
 
-  #refused(call: Call, retryAfter: number, now: number): void {
-    const result = this.results.get(call.kind.name)!;
-    if (call.returned) {
+  #recordRefusal(call: Call, retryAfter: number, now: number): void {
+    const result = this.results.get(call.profile.name)!;
+    if (call.isRetry) {
       result.refused++;
       result.refusedTwice++;
       return;
     }
-    const left = call.bornAt + call.kind.deadline - now;
-    this.#returns.push({ at: now + Math.min(retryAfter, left / 3), call });
+    const timeLeft = call.arrivedAt + call.profile.deadline - now;
+    this.#retries.push({ at: now + Math.min(retryAfter, timeLeft / 3), call });
   }
 
   #step(engine: Engine, now: number): void {
@@ -227,44 +233,55 @@
       ? 0
       : engine.credit + TICK * engine.speed;
     for (const run of engine.running) {
-      const reading = run.unread / PROMPT_TOKENS_PER_MILLISECOND;
-      const used = Math.min(engine.credit, reading);
-      run.unread -= used * PROMPT_TOKENS_PER_MILLISECOND;
+      const prefillTime = run.pendingPrefillTokens /
+        PROMPT_TOKENS_PER_MILLISECOND;
+      const used = Math.min(engine.credit, prefillTime);
+      run.pendingPrefillTokens -= used * PROMPT_TOKENS_PER_MILLISECOND;
       engine.credit -= used;
     }
     while (engine.credit >= STEP && engine.running.length > 0) {
       engine.credit -= STEP;
-      this.#oneToken(engine, now);
+      this.#decodeStep(engine, now);
     }
   }
 
-  #oneToken(engine: Engine, now: number): void {
+  #decodeStep(engine: Engine, now: number): void {
     for (const run of [...engine.running]) {
-      if (run.unread >= 1 || now - run.startedAt < FIRST_TOKEN) continue;
-      if (run.firstAt === undefined) {
-        run.firstAt = now;
-        this.#desk.recordResponseStart(run.ask.id, now - run.startedAt, now);
+      if (run.pendingPrefillTokens >= 1 || now - run.startedAt < FIRST_TOKEN) {
+        continue;
+      }
+      if (run.firstTokenAt === undefined) {
+        run.firstTokenAt = now;
+        this.#scheduler.recordResponseStart(
+          run.request.id,
+          now - run.startedAt,
+          now,
+        );
       }
-      run.left--;
-      const whole = run.left <= 0;
-      if (!whole && now < run.ask.deadline) continue;
+      run.remainingTokens--;
+      const isComplete = run.remainingTokens <= 0;
+      if (!isComplete && now < run.request.deadline) continue;
       engine.running.splice(engine.running.indexOf(run), 1);
-      this.#ended(run, whole, now);
+      this.#recordEnd(run, isComplete, now);
     }
   }
 
-  #ended(run: Running, whole: boolean, now: number): void {
-    const { ask, call, firstAt = now } = run;
-    const tokens = ask.cost.outputTokens;
-    const pace = { tokens, measured: now - firstAt, pausePart: 0.3 };
-    this.#desk.recordStreamTiming(ask.id, pace, now);
-    this.#desk.recordEnd(ask.id, whole ? "answered" : "abandoned", now);
-    this.#calls.delete(ask.id);
-    const result = this.results.get(call.kind.name)!;
-    call.outcome.served = whole;
-    const inTime = firstAt - call.bornAt <= call.kind.goal;
-    if (!whole) result.refused++;
-    else if (inTime) result.onTime++;
+  #recordEnd(run: Run, isComplete: boolean, now: number): void {
+    const { request, call, firstTokenAt = now } = run;
+    const tokens = request.cost.outputTokens;
+    const timing = { tokens, measured: now - firstTokenAt, pausePart: 0.3 };
+    this.#scheduler.recordStreamTiming(request.id, timing, now);
+    this.#scheduler.recordEnd(
+      request.id,
+      isComplete ? "answered" : "abandoned",
+      now,
+    );
+    this.#calls.delete(request.id);
+    const result = this.results.get(call.profile.name)!;
+    call.outcome.served = isComplete;
+    const isOnTime = firstTokenAt - call.arrivedAt <= call.profile.latencyGoal;
+    if (!isComplete) result.refused++;
+    else if (isOnTime) result.onTime++;
     else result.late++;
   }
 }
--- a/packages/decisions/test/grant_requests.ts
+++ b/packages/decisions/test/grant_requests.ts
@@ -5,12 +5,14 @@
 } from "../src/mod.ts";
 
 let number = 0;
-/** An ask of tests, changed where one needs it. */
-export function ask(changes: Partial<GrantRequest> = {}): GrantRequest {
+/** Returns a grant request with defaults for tests, changed by `changes`. */
+export function grantRequest(
+  changes: Partial<GrantRequest> = {},
+): GrantRequest {
   number++;
   const arrived = changes.arrived ?? 0;
   return {
-    id: `ask-${number}`,
+    id: `request-${number}`,
     entry: "entry-1",
     service: "assistant",
     tierRank: 0,
@@ -30,24 +32,27 @@
   };
 }
 
-/** Ids of the asks that were granted, in order. */
-export function granted(verdicts: GrantDecision[]): string[] {
-  return verdicts.filter(({ kind }) => kind === "grant")
-    .map(({ request: ask }) => ask.id);
+/** Returns the ids of the granted requests, in order. */
+export function grantedIds(decisions: GrantDecision[]): string[] {
+  return decisions.filter(({ kind }) => kind === "grant")
+    .map(({ request }) => request.id);
 }
 
-/** Serves `asks` one at a time from 0 on, each in 10 ms; gives the order. */
-export function orderOf(
-  desk: ServiceScheduler,
+/**
+ * Submits `requests` at 0 and serves them one at a time, 10 ms each, after `running`
+ * has ended. Returns their ids in the order of the grants.
+ */
+export function grantOrder(
+  scheduler: ServiceScheduler,
   running: GrantRequest,
-  asks: GrantRequest[],
+  requests: GrantRequest[],
 ): string[] {
-  for (const one of asks) desk.submit(one, 0);
+  for (const request of requests) scheduler.submit(request, 0);
   const order: string[] = [];
   let last = running.id;
-  for (let now = 10; order.length < asks.length; now += 10) {
-    desk.recordEnd(last, "answered", now);
-    const [next] = granted(desk.decide(now));
+  for (let now = 10; order.length < requests.length; now += 10) {
+    scheduler.recordEnd(last, "answered", now);
+    const [next] = grantedIds(scheduler.decide(now));
     if (next === undefined) break;
     order.push(next);
     last = next;
--- a/packages/decisions/test/maximum_in_window.ts
+++ b/packages/decisions/test/maximum_in_window.ts
@@ -1,9 +1,9 @@
-/** Tokens that were granted at a moment, in milliseconds. */
-export type Granted = { at: number; charge: number };
+/** Tokens that were granted at a time in milliseconds. */
+export type Grant = { at: number; charge: number };
 
-/** Most tokens granted in any span of `window` milliseconds. */
-export function largestWindow(
-  grants: readonly Granted[],
+/** Returns the maximum of tokens granted in any window of `window` milliseconds. */
+export function maximumInWindow(
+  grants: readonly Grant[],
   window: number,
 ): number {
   const sums = grants.map(({ at: from }) =>
--- a/packages/decisions/test/organisation_quotas_test.ts
+++ b/packages/decisions/test/organisation_quotas_test.ts
@@ -6,21 +6,23 @@
 const LEEWAY: QuotaLeeway = { window: 8000, overage: 0.1, slack: 500 };
 const QUOTA: Quota = { ratePerSecond: 1000, burst: 1000 };
 const QUOTAS = new Map([["hot", QUOTA]]);
+/** Tokens that are accepted in a window. */
 const ACCEPTED = (8 * QUOTA.ratePerSecond + QUOTA.burst) * 1.1 + 500;
 
-type Use = { at: number; tokens: number };
+type Charge = { at: number; tokens: number };
 
-function largestWindow(uses: readonly Use[]): number {
-  let largest = 0;
-  for (const first of uses) {
+function maximumInWindow(charges: readonly Charge[]): number {
+  let maximum = 0;
+  for (const first of charges) {
     let sum = 0;
-    for (const use of uses) {
-      const inside = use.at >= first.at && use.at < first.at + LEEWAY.window;
-      if (inside) sum += use.tokens;
+    for (const charge of charges) {
+      const isInside = charge.at >= first.at &&
+        charge.at < first.at + LEEWAY.window;
+      if (isInside) sum += charge.tokens;
     }
-    largest = Math.max(largest, sum);
+    maximum = Math.max(maximum, sum);
   }
-  return largest;
+  return maximum;
 }
 
 const arrivals = fc.array(
@@ -32,9 +34,8 @@
   { minLength: 50, maxLength: 300 },
 );
 
-t.test("two groups together never pass what is accepted in a window", (t) => {
-  // The fleet is cut in two; each half goes on by itself, and a hot organisation
-  // sends to both. With the whole quota in each it would get twice as much.
+t.test("two groups together stay within the accepted amount in any window", (t) => {
+  // With the whole quota in each half of a divided fleet, twice as much is granted.
   fc.assert(
     fc.property(arrivals, (arrivals) => {
       const halves = [2, 3].map((size) => {
@@ -42,43 +43,42 @@
         quotas.configure(QUOTAS, size / 5, 0);
         return quotas;
       });
-      const uses: Use[] = [];
+      const charges: Charge[] = [];
       let now = 0;
       for (const { wait, tokens, group } of arrivals) {
         now += wait;
         const allowed = halves[group]!.charge("hot", tokens, now);
-        if (allowed) uses.push({ at: now, tokens });
+        if (allowed) charges.push({ at: now, tokens });
       }
-      return largestWindow(uses) <= ACCEPTED;
+      return maximumInWindow(charges) <= ACCEPTED;
     }),
   );
   t.end();
 });
 
-t.test("a take-over lets no second burst through", (t) => {
-  // The granting entry dies with the quota's burst just used; the next one knows
-  // nothing of it.
-  const uses: Use[] = [];
-  const drain = (quotas: OrganisationQuotas, from: number, to: number) => {
+t.test("a take-over does not grant a second burst", (t) => {
+  // The next granting entry does not know that the burst has just been used.
+  const charges: Charge[] = [];
+  const useQuota = (quotas: OrganisationQuotas, from: number, to: number) => {
     for (let now = from; now < to; now += 5) {
       if (quotas.charge("hot", 100, now)) {
-        uses.push({ at: now, tokens: 100 });
+        charges.push({ at: now, tokens: 100 });
       }
     }
   };
   const first = new OrganisationQuotas(LEEWAY);
   first.configure(QUOTAS, 1, 0);
-  drain(first, 0, 4000);
+  useQuota(first, 0, 4000);
   const second = new OrganisationQuotas(LEEWAY);
   second.configure(QUOTAS, 0, 0);
   first.configure(QUOTAS, 0, 4000);
   second.configure(QUOTAS, 1, 4000);
-  drain(second, 4000, 8000);
-  t.ok(largestWindow(uses) <= ACCEPTED, String(largestWindow(uses)));
+  useQuota(second, 4000, 8000);
+  t.ok(maximumInWindow(charges) <= ACCEPTED, String(maximumInWindow(charges)));
   t.end();
 });
 
-t.test("use at half of the rate is never refused", (t) => {
+t.test("use at half the rate is never refused", (t) => {
   const quotas = new OrganisationQuotas(LEEWAY);
   quotas.configure(QUOTAS, 1, 0);
   for (let now = 1000; now < 20_000; now += 100) {
@@ -88,7 +88,7 @@
   t.end();
 });
 
-t.test("what is beyond the rate is let through, and refused beyond the leeway", (t) => {
+t.test("use above the rate is granted within the leeway and refused beyond it", (t) => {
   const quotas = new OrganisationQuotas(LEEWAY);
   quotas.configure(QUOTAS, 1, 0);
   let used = 0;
@@ -104,27 +104,27 @@
   t.end();
 });
 
-t.test("parts that go to and fro let no more through than is accepted", (t) => {
-  // Links flap, and two entries grant for the whole fleet in turn.
-  const uses: Use[] = [];
-  let without = 0;
-  const held = [0, 1].map(() => new OrganisationQuotas(LEEWAY));
+t.test("fractions that change back and forth stay within the accepted amount", (t) => {
+  // With unstable links two entries in turn grant for the whole fleet.
+  const charges: Charge[] = [];
+  let allowedWithoutFraction = 0;
+  const entries = [0, 1].map(() => new OrganisationQuotas(LEEWAY));
   for (let now = 0; now < 16_000; now += 10) {
     const granting = Math.floor(now / 300) % 2;
-    for (const [index, quotas] of held.entries()) {
+    for (const [index, quotas] of entries.entries()) {
       quotas.configure(QUOTAS, index === granting ? 1 : 0, now);
     }
-    if (held[granting]!.charge("hot", 100, now)) {
-      uses.push({ at: now, tokens: 100 });
+    if (entries[granting]!.charge("hot", 100, now)) {
+      charges.push({ at: now, tokens: 100 });
     }
-    if (held[1 - granting]!.allows("hot", 1, now)) without++;
+    if (entries[1 - granting]!.allows("hot", 1, now)) allowedWithoutFraction++;
   }
-  t.equal(without, 0, "allowed without a part");
-  t.ok(largestWindow(uses) <= ACCEPTED, String(largestWindow(uses)));
+  t.equal(allowedWithoutFraction, 0, "allowed without a fraction");
+  t.ok(maximumInWindow(charges) <= ACCEPTED, String(maximumInWindow(charges)));
   t.end();
 });
 
-t.test("a changed leeway is held to from the next configuration on", (t) => {
+t.test("a changed leeway takes effect with the next configuration", (t) => {
   const quotas = new OrganisationQuotas({ ...LEEWAY, slack: 100_000 });
   quotas.configure(QUOTAS, 1, 0);
   quotas.setLeeway(LEEWAY);
--- a/packages/decisions/test/request_profile.ts
+++ b/packages/decisions/test/request_profile.ts
@@ -1,11 +1,11 @@
-import type { LoadKind } from "./fleet_simulation.ts";
+import type { RequestProfile } from "./fleet_simulation.ts";
 
-/** Returns the load of one organisation, with overrides. */
-export function loadKind(
+/** Returns the request profile of one organisation, changed by `changes`. */
+export function requestProfile(
   organisation: string,
   perSecond: number,
-  changes: Partial<LoadKind> = {},
-): LoadKind {
+  changes: Partial<RequestProfile> = {},
+): RequestProfile {
   return {
     name: organisation,
     service: "assistant",
@@ -13,8 +13,8 @@
     routeRank: 0,
     organisation,
     rate: () => perSecond,
-    goal: 600,
-    patience: 2000,
+    latencyGoal: 600,
+    maximumWait: 2000,
     deadline: 15_000,
     prompt: 900,
     output: 90,
--- a/packages/decisions/test/route_order_test.ts
+++ b/packages/decisions/test/route_order_test.ts
@@ -1,27 +1,28 @@
 import t from "tap";
 import { GroupScheduler } from "../src/mod.ts";
 import { serverRecord } from "./server_record.ts";
-import { VirtualFleet } from "./fleet_simulation.ts";
-import type { LoadKind, LoadResult } from "./fleet_simulation.ts";
+import { FleetSimulation } from "./fleet_simulation.ts";
+import type { ProfileResult, RequestProfile } from "./fleet_simulation.ts";
 
 const LEEWAY = { window: 8000, overage: 0.1, slack: 1e9 };
+/** Speed factors of the engines, by server incarnation. */
 const SPEEDS = new Map([["x@1", 0.6], ["y@1", 1], ["z@1", 2]]);
 
 const COMMON = {
   service: "assistant",
   tierRank: 0,
   organisation: "firm",
-  patience: 2000,
+  maximumWait: 2000,
 };
-const burst = (usual: number) => (now: number) =>
+const burstRate = (usual: number) => (now: number) =>
   now > 2000 && now < 10_000 ? usual * 2 : usual;
-const KINDS: LoadKind[] = [
+const PROFILES: RequestProfile[] = [
   {
     ...COMMON,
     name: "summary",
     routeRank: 0,
-    rate: burst(9),
-    goal: 600,
+    rate: burstRate(9),
+    latencyGoal: 600,
     deadline: 15_000,
     prompt: 2500,
     output: 130,
@@ -31,8 +32,8 @@
     ...COMMON,
     name: "notes",
     routeRank: 1,
-    rate: burst(17),
-    goal: 300,
+    rate: burstRate(17),
+    latencyGoal: 300,
     deadline: 12_000,
     prompt: 400,
     output: 110,
@@ -42,8 +43,8 @@
     ...COMMON,
     name: "answer",
     routeRank: 2,
-    rate: burst(15),
-    goal: 400,
+    rate: burstRate(15),
+    latencyGoal: 400,
     deadline: 3000,
     prompt: 800,
     output: 10,
@@ -51,28 +52,30 @@
   },
 ];
 
-function play(seed: number): Map<string, LoadResult> {
-  const desk = new GroupScheduler(LEEWAY);
-  desk.setServers(
+function simulate(seed: number): Map<string, ProfileResult> {
+  const scheduler = new GroupScheduler(LEEWAY);
+  scheduler.setServers(
     ["x", "y", "z"].map((id) => serverRecord(id, { slots: 16 })),
   );
-  const fleet = new VirtualFleet({ desk, kinds: KINDS, speeds: SPEEDS, seed });
-  fleet.play(14_000);
-  return fleet.results;
+  const simulation = new FleetSimulation({
+    scheduler,
+    profiles: PROFILES,
+    speeds: SPEEDS,
+    seed,
+  });
+  simulation.run(14_000);
+  return simulation.results;
 }
 
-function servedPart({ asked, onTime, late }: LoadResult): number {
-  return (onTime + late) / asked;
+function servedFraction({ sent, onTime, late }: ProfileResult): number {
+  return (onTime + late) / sent;
 }
 
-t.test("a burst: summaries are not served less often than quick answers", (t) => {
-  // All organisations have the same rank, and it goes before the routes'. The
-  // three kinds of one service then were one tier, ordered by time alone: in a
-  // burst of twice the usual the users' most important answers, which are the
-  // longest, were refused while nearly all of the least important were served.
+t.test("in a burst, more urgent routes are served no less often than others", (t) => {
+  // By time alone, at twice the usual load the most important route was refused.
   for (const seed of [1, 2, 3]) {
-    const results = play(seed);
-    const [summary, notes, answer] = [...results.values()].map(servedPart);
+    const results = simulate(seed);
+    const [summary, notes, answer] = [...results.values()].map(servedFraction);
     t.comment(`served: ${summary}, ${notes}, ${answer}`);
     t.ok(summary! >= notes! - 0.05, `${summary} against ${notes}`);
     t.ok(notes! >= answer! - 0.05, `${notes} against ${answer}`);
--- a/packages/decisions/test/service_scheduler_test.ts
+++ b/packages/decisions/test/service_scheduler_test.ts
@@ -1,40 +1,41 @@
 import t from "tap";
 import { ServiceScheduler } from "../src/mod.ts";
-import { ask, granted } from "./grant_requests.ts";
+import { grantedIds, grantRequest } from "./grant_requests.ts";
 import { serverRecord as server } from "./server_record.ts";
 
-t.test("no more is sent to a server than it runs at once", (t) => {
-  // Engines admit in order of arrival: what is sent beyond their places waits
-  // there, where an urgent request can't pass it.
-  const desk = new ServiceScheduler();
-  desk.setServers([server("x")]);
-  const asks = [ask(), ask(), ask()];
-  for (const one of asks) t.equal(desk.submit(one, 0), undefined);
-  t.same(granted(desk.decide(0)), [asks[0]!.id, asks[1]!.id]);
-  t.same(desk.decide(1), []);
-  desk.recordEnd(asks[0]!.id, "answered", 50);
-  t.same(granted(desk.decide(50)), [asks[2]!.id]);
+t.test("a server is not sent more requests than it has slots", (t) => {
+  // A request that waits inside an engine cannot be overtaken by an urgent one.
+  const scheduler = new ServiceScheduler();
+  scheduler.setServers([server("x")]);
+  const requests = [grantRequest(), grantRequest(), grantRequest()];
+  for (const request of requests) {
+    t.equal(scheduler.submit(request, 0), undefined);
+  }
+  t.same(grantedIds(scheduler.decide(0)), [requests[0]!.id, requests[1]!.id]);
+  t.same(scheduler.decide(1), []);
+  scheduler.recordEnd(requests[0]!.id, "answered", 50);
+  t.same(grantedIds(scheduler.decide(50)), [requests[2]!.id]);
   t.end();
 });
 
-t.test("a higher tier goes first, and a short answer within a tier", (t) => {
-  const desk = new ServiceScheduler();
-  desk.setServers([server("x", { slots: 1 })]);
-  const running = ask();
-  desk.submit(running, 0);
-  desk.decide(0);
-  const lower = ask({
+t.test("higher tiers are served first, and shorter responses first within a tier", (t) => {
+  const scheduler = new ServiceScheduler();
+  scheduler.setServers([server("x", { slots: 1 })]);
+  const running = grantRequest();
+  scheduler.submit(running, 0);
+  scheduler.decide(0);
+  const lower = grantRequest({
     tierRank: 1,
     cost: { promptTokens: 60, outputTokens: 10 },
   });
-  const long = ask({ cost: { promptTokens: 600, outputTokens: 500 } });
-  const short = ask({ cost: { promptTokens: 600, outputTokens: 30 } });
-  for (const one of [lower, long, short]) desk.submit(one, 0);
+  const long = grantRequest({ cost: { promptTokens: 600, outputTokens: 500 } });
+  const short = grantRequest({ cost: { promptTokens: 600, outputTokens: 30 } });
+  for (const request of [lower, long, short]) scheduler.submit(request, 0);
   const order: string[] = [];
   let last = running.id;
   for (let now = 10; now < 50; now += 10) {
-    desk.recordEnd(last, "answered", now);
-    const [next] = granted(desk.decide(now));
+    scheduler.recordEnd(last, "answered", now);
+    const [next] = grantedIds(scheduler.decide(now));
     if (next === undefined) break;
     order.push(next);
     last = next;
@@ -43,225 +44,240 @@
   t.end();
 });
 
-t.test("a crashed server draws no requests", (t) => {
-  // It refuses connections at once, so it is always idle and looks fastest: of
-  // 19,000 tries on a day with crashes 3,283 went to servers that were down.
-  const desk = new ServiceScheduler();
-  desk.setServers([server("x", { slots: 8 }), server("y", { slots: 8 })]);
-  const first = ask();
-  desk.submit(first, 0);
-  const [grant] = desk.decide(0);
+t.test("a server that refuses connections is avoided, then tried with one request", (t) => {
+  // A crashed server looks idle: it attracted 3,283 of 19,000 attempts.
+  const scheduler = new ServiceScheduler();
+  scheduler.setServers([server("x", { slots: 8 }), server("y", { slots: 8 })]);
+  const first = grantRequest();
+  scheduler.submit(first, 0);
+  const [grant] = scheduler.decide(0);
   if (grant?.kind !== "grant") return t.fail("not granted");
   const down = grant.server;
-  desk.recordEnd(first.id, "connection_refused", 1);
-  for (let count = 0; count < 8; count++) desk.submit(ask(), 2);
-  const servers = desk.decide(2)
-    .map((verdict) => verdict.kind === "grant" ? verdict.server : "");
+  scheduler.recordEnd(first.id, "connection_refused", 1);
+  for (let count = 0; count < 8; count++) scheduler.submit(grantRequest(), 2);
+  const servers = scheduler.decide(2)
+    .map((decision) => decision.kind === "grant" ? decision.server : "");
   t.notOk(servers.includes(down));
   t.equal(servers.length, 8);
-  for (let count = 0; count < 8; count++) desk.submit(ask(), 400);
-  const later = desk.decide(400)
-    .map((verdict) => verdict.kind === "grant" ? verdict.server : "");
+  for (let count = 0; count < 8; count++) scheduler.submit(grantRequest(), 400);
+  const later = scheduler.decide(400)
+    .map((decision) => decision.kind === "grant" ? decision.server : "");
   t.equal(
     later.filter((name) => name === down).length,
     1,
-    "one tries it again",
+    "a single request tries it again",
   );
   t.end();
 });
 
-t.test("a server that another one answers for draws no requests", (t) => {
-  // A server has crashed and another has its address, which rejects at once what
-  // is meant for the first: idle and fast, it drew one request after the other,
-  // and each spent one of the service's resends.
-  const desk = new ServiceScheduler();
-  desk.setServers([server("x", { slots: 8 }), server("y", { slots: 8 })]);
-  const first = ask();
-  desk.submit(first, 0);
-  const [grant] = desk.decide(0);
+t.test("a server whose address another server has taken over is sent no requests", (t) => {
+  // Quick rejections made it look idle and fast, and used up the service's retries.
+  const scheduler = new ServiceScheduler();
+  scheduler.setServers([server("x", { slots: 8 }), server("y", { slots: 8 })]);
+  const first = grantRequest();
+  scheduler.submit(first, 0);
+  const [grant] = scheduler.decide(0);
   if (grant?.kind !== "grant") return t.fail("not granted");
-  desk.recordEnd(first.id, "misdirected", 1);
-  for (let count = 0; count < 8; count++) desk.submit(ask(), 2);
-  const servers = desk.decide(2)
-    .map((verdict) => verdict.kind === "grant" ? verdict.server : "");
+  scheduler.recordEnd(first.id, "misdirected", 1);
+  for (let count = 0; count < 8; count++) scheduler.submit(grantRequest(), 2);
+  const servers = scheduler.decide(2)
+    .map((decision) => decision.kind === "grant" ? decision.server : "");
   t.notOk(servers.includes(grant.server));
   t.end();
 });
 
-t.test("a connect without an answer shuts a server out for its entry only", (t) => {
-  const desk = new ServiceScheduler();
-  desk.setServers([server("x", { slots: 8 })]);
-  const first = ask();
-  desk.submit(first, 0);
-  desk.decide(0);
-  desk.recordEnd(first.id, "connection_timeout", 300);
-  const same = ask({ arrived: 300 });
-  const other = ask({ arrived: 300, entry: "entry-2" });
-  desk.submit(same, 300);
-  desk.submit(other, 300);
-  t.same(granted(desk.decide(300)), [other.id]);
+t.test("after a connection timeout only the entry concerned avoids the server", (t) => {
+  const scheduler = new ServiceScheduler();
+  scheduler.setServers([server("x", { slots: 8 })]);
+  const first = grantRequest();
+  scheduler.submit(first, 0);
+  scheduler.decide(0);
+  scheduler.recordEnd(first.id, "connection_timeout", 300);
+  const sameEntry = grantRequest({ arrived: 300 });
+  const otherEntry = grantRequest({ arrived: 300, entry: "entry-2" });
+  scheduler.submit(sameEntry, 300);
+  scheduler.submit(otherEntry, 300);
+  t.same(grantedIds(scheduler.decide(300)), [otherEntry.id]);
   t.end();
 });
 
-t.test("who waits in vain is told so before its caller leaves", (t) => {
-  const desk = new ServiceScheduler();
-  desk.setServers([server("x", { slots: 1 })]);
-  desk.submit(ask(), 0);
-  desk.decide(0);
-  const waiting = ask({ expiresAt: 1600 });
-  desk.submit(waiting, 0);
-  t.same(desk.decide(1599), []);
-  const [verdict] = desk.decide(1601);
-  t.equal(verdict?.kind, "refuse");
-  if (verdict?.kind === "refuse") t.ok(verdict.retryAfter >= 1000);
-  t.equal(desk.waiting, 0);
+t.test("a waiting request is refused when it expires", (t) => {
+  const scheduler = new ServiceScheduler();
+  scheduler.setServers([server("x", { slots: 1 })]);
+  scheduler.submit(grantRequest(), 0);
+  scheduler.decide(0);
+  const waiting = grantRequest({ expiresAt: 1600 });
+  scheduler.submit(waiting, 0);
+  t.same(scheduler.decide(1599), []);
+  const [decision] = scheduler.decide(1601);
+  t.equal(decision?.kind, "refuse");
+  if (decision?.kind === "refuse") t.ok(decision.retryAfter >= 1000);
+  t.equal(scheduler.waiting, 0);
   t.end();
 });
 
-t.test("a refused caller is sent back after the burst, within its patience", (t) => {
-  // Bursts last up to five seconds. Sent back after 1.5 to 3.5 s, a caller came
-  // into the same one, was refused again and had no retry left. It waits for a
-  // third of its time left at most, so a longer time would not be kept.
-  const refusalOf = (endsAt: number, spread: number): number => {
-    const desk = new ServiceScheduler();
-    desk.setServers([server("x", { slots: 1 })]);
-    desk.submit(
-      ask({
+t.test("the retry delay is at most 5 s and a third of the time left, less jitter", (t) => {
+  // With 1.5 to 3.5 s, the only retry fell into the same burst, of up to 5 s.
+  const retryDelay = (deadline: number, jitter: number): number => {
+    const scheduler = new ServiceScheduler();
+    scheduler.setServers([server("x", { slots: 1 })]);
+    scheduler.submit(
+      grantRequest({
         latencyGoalAt: -1,
         expiresAt: -1,
-        deadline: endsAt,
-        jitter: spread,
+        deadline,
+        jitter,
       }),
       0,
     );
-    const [verdict] = desk.decide(0);
-    return verdict?.kind === "refuse" ? verdict.retryAfter : NaN;
+    const [decision] = scheduler.decide(0);
+    return decision?.kind === "refuse" ? decision.retryAfter : NaN;
   };
-  t.equal(refusalOf(12_000, 0), 4000);
-  t.equal(refusalOf(12_000, 1), 2000);
-  t.equal(refusalOf(3000, 0), 1000);
-  t.equal(refusalOf(60_000, 0), 5000);
+  t.equal(retryDelay(12_000, 0), 4000);
+  t.equal(retryDelay(12_000, 1), 2000);
+  t.equal(retryDelay(3000, 0), 1000);
+  t.equal(retryDelay(60_000, 0), 5000);
   t.end();
 });
 
-t.test("a caller that comes back goes before late ones of its tier", (t) => {
-  // A second refusal is a caller's last: it has one retry.
-  const desk = new ServiceScheduler();
-  desk.setServers([server("x", { slots: 1 })]);
-  const running = ask();
-  desk.submit(running, 0);
-  desk.decide(0);
-  const refused = ask({
+t.test("a retrying caller is served before late requests of its tier", (t) => {
+  // A caller has one retry, so a second refusal is final.
+  const scheduler = new ServiceScheduler();
+  scheduler.setServers([server("x", { slots: 1 })]);
+  const running = grantRequest();
+  scheduler.submit(running, 0);
+  scheduler.decide(0);
+  const refused = grantRequest({
     latencyGoalAt: 50,
     expiresAt: 100,
-    fingerprint: "again",
+    fingerprint: "retried",
+  });
+  scheduler.submit(refused, 0);
+  t.match(scheduler.decide(101), [{ kind: "refuse" }]);
+  const late = grantRequest({
+    arrived: 2000,
+    latencyGoalAt: 1900,
+    expiresAt: 4000,
+  });
+  const retry = grantRequest({
+    arrived: 2000,
+    fingerprint: "retried",
+    expiresAt: 4000,
   });
-  desk.submit(refused, 0);
-  t.match(desk.decide(101), [{ kind: "refuse" }]);
-  const late = ask({ arrived: 2000, latencyGoalAt: 1900, expiresAt: 4000 });
-  const again = ask({ arrived: 2000, fingerprint: "again", expiresAt: 4000 });
-  desk.submit(late, 2000);
-  desk.submit(again, 2000);
-  desk.recordEnd(running.id, "answered", 2010);
-  t.same(granted(desk.decide(2010)), [again.id]);
+  scheduler.submit(late, 2000);
+  scheduler.submit(retry, 2000);
+  scheduler.recordEnd(running.id, "answered", 2010);
+  t.same(grantedIds(scheduler.decide(2010)), [retry.id]);
   t.end();
 });
 
-t.test("a long answer is not sent to a server too slow to end it", (t) => {
-  // At an engine a fifth as fast as others an answer of 1,500 tokens takes longer
-  // than its caller has: its place is taken until the deadline, for nothing.
-  const desk = new ServiceScheduler();
-  desk.setServers([server("slow", { slots: 4 }), server("fast", { slots: 4 })]);
+t.test("a long response is not sent to a server too slow to complete it", (t) => {
+  // An engine a fifth as fast as others is occupied in vain by 1,500 tokens.
+  const scheduler = new ServiceScheduler();
+  scheduler.setServers([
+    server("slow", { slots: 4 }),
+    server("fast", { slots: 4 }),
+  ]);
   for (let count = 0; count < 40; count++) {
-    const one = ask();
-    desk.submit(one, count);
-    const [verdict] = desk.decide(count);
-    if (verdict?.kind !== "grant") return t.fail("not granted");
-    const slow = verdict.server.startsWith("slow");
-    desk.recordResponseStart(one.id, slow ? 150 : 80, count);
-    const measured = slow ? 1500 : 250;
-    desk.recordStreamTiming(
-      one.id,
+    const request = grantRequest();
+    scheduler.submit(request, count);
+    const [decision] = scheduler.decide(count);
+    if (decision?.kind !== "grant") return t.fail("not granted");
+    const isSlow = decision.server.startsWith("slow");
+    scheduler.recordResponseStart(request.id, isSlow ? 150 : 80, count);
+    const measured = isSlow ? 1500 : 250;
+    scheduler.recordStreamTiming(
+      request.id,
       { tokens: 100, measured, pausePart: 0 },
       count,
     );
-    desk.recordEnd(one.id, "answered", count);
+    scheduler.recordEnd(request.id, "answered", count);
   }
   const servers: string[] = [];
   for (let count = 0; count < 6; count++) {
-    desk.submit(ask({ cost: { promptTokens: 600, outputTokens: 1500 } }), 50);
-    for (const verdict of desk.decide(50)) {
-      if (verdict.kind === "grant") servers.push(verdict.server);
+    scheduler.submit(
+      grantRequest({ cost: { promptTokens: 600, outputTokens: 1500 } }),
+      50,
+    );
+    for (const decision of scheduler.decide(50)) {
+      if (decision.kind === "grant") servers.push(decision.server);
     }
   }
   t.same(servers, Array(4).fill("fast@1"));
   t.end();
 });
 
-t.test("long prompts keep off servers whose answers they stop", (t) => {
-  // A slow engine reads a long prompt in between the tokens of all answers
-  // beside it: their events come half a second apart, and eleven callers count
-  // their answers as late. The fast engine beside it reads the same unnoticed.
-  const desk = new ServiceScheduler();
-  desk.setServers([server("slow", { slots: 9 }), server("fast", { slots: 9 })]);
+t.test("long prompts are not sent to servers whose responses they stall", (t) => {
+  // At a slow engine, prefill of one prompt stalled eleven responses for 0.5 s.
+  const scheduler = new ServiceScheduler();
+  scheduler.setServers([
+    server("slow", { slots: 9 }),
+    server("fast", { slots: 9 }),
+  ]);
   const cost = { promptTokens: 9000, outputTokens: 100 };
   const long = (now: number) =>
-    ask({
+    grantRequest({
       cost,
       arrived: now,
       latencyGoalAt: now + 5000,
       expiresAt: now + 9000,
     });
   for (let now = 0; now < 12_000; now += 300) {
-    desk.submit(long(now), now);
-    desk.submit(long(now), now);
-    for (const verdict of desk.decide(now)) {
-      if (verdict.kind !== "grant") return t.fail("not granted");
-      const slow = verdict.server.startsWith("slow");
-      const pausePart = slow ? 2 : 0.3;
-      desk.recordResponseStart(verdict.request.id, 150, now);
-      const pace = { tokens: 100, measured: 400, pausePart };
-      desk.recordStreamTiming(verdict.request.id, pace, now);
-      desk.recordEnd(verdict.request.id, "answered", now);
+    scheduler.submit(long(now), now);
+    scheduler.submit(long(now), now);
+    for (const decision of scheduler.decide(now)) {
+      if (decision.kind !== "grant") return t.fail("not granted");
+      const isSlow = decision.server.startsWith("slow");
+      const pausePart = isSlow ? 2 : 0.3;
+      scheduler.recordResponseStart(decision.request.id, 150, now);
+      const timing = { tokens: 100, measured: 400, pausePart };
+      scheduler.recordStreamTiming(decision.request.id, timing, now);
+      scheduler.recordEnd(decision.request.id, "answered", now);
     }
   }
   const servers: string[] = [];
-  for (const one of [long(12_000), long(12_000), long(12_000)]) {
-    desk.submit(one, 12_000);
+  for (const request of [long(12_000), long(12_000), long(12_000)]) {
+    scheduler.submit(request, 12_000);
   }
   const short = { promptTokens: 600, outputTokens: 100 };
   for (let count = 0; count < 9; count++) {
-    desk.submit(ask({ cost: short, arrived: 12_000 }), 12_000);
+    scheduler.submit(grantRequest({ cost: short, arrived: 12_000 }), 12_000);
   }
-  for (const verdict of desk.decide(12_000)) {
-    if (verdict.kind !== "grant") continue;
-    const size = verdict.request.cost.promptTokens === 9000 ? "long" : "short";
-    servers.push(`${size} at ${verdict.server}`);
+  for (const decision of scheduler.decide(12_000)) {
+    if (decision.kind !== "grant") continue;
+    const size = decision.request.cost.promptTokens === 9000 ? "long" : "short";
+    servers.push(`${size} at ${decision.server}`);
   }
   t.notOk(servers.includes("long at slow@1"));
   t.ok(servers.includes("long at fast@1"));
-  t.ok(servers.includes("short at slow@1"), "which it serves in time");
+  t.ok(
+    servers.includes("short at slow@1"),
+    "short prompts are still sent there",
+  );
   t.end();
 });
 
-t.test("a request that every server was tried for is refused at once", (t) => {
-  const desk = new ServiceScheduler();
-  desk.setServers([server("x")]);
-  const verdict = desk.submit(ask({ excludedServers: ["x@1"] }), 0);
-  t.equal(verdict?.kind, "refuse");
-  t.equal(desk.waiting, 0);
+t.test("a request for which all servers have been tried is refused at once", (t) => {
+  const scheduler = new ServiceScheduler();
+  scheduler.setServers([server("x")]);
+  const decision = scheduler.submit(
+    grantRequest({ excludedServers: ["x@1"] }),
+    0,
+  );
+  t.equal(decision?.kind, "refuse");
+  t.equal(scheduler.waiting, 0);
   t.end();
 });
 
-t.test("what an entry ran is forgotten with it", (t) => {
-  const desk = new ServiceScheduler();
-  desk.setServers([server("x", { slots: 1 })]);
-  desk.submit(ask({ entry: "gone" }), 0);
-  desk.decide(0);
-  const waiting = ask();
-  desk.submit(waiting, 0);
-  t.same(desk.decide(1), []);
-  desk.removeEntry("gone");
-  t.same(granted(desk.decide(2)), [waiting.id]);
+t.test("removing an entry frees the slots of its runs", (t) => {
+  const scheduler = new ServiceScheduler();
+  scheduler.setServers([server("x", { slots: 1 })]);
+  scheduler.submit(grantRequest({ entry: "gone" }), 0);
+  scheduler.decide(0);
+  const waiting = grantRequest();
+  scheduler.submit(waiting, 0);
+  t.same(scheduler.decide(1), []);
+  scheduler.removeEntry("gone");
+  t.same(grantedIds(scheduler.decide(2)), [waiting.id]);
   t.end();
 });
--- a/packages/decisions/test/simulated_engine.ts
+++ b/packages/decisions/test/simulated_engine.ts
@@ -1,9 +1,15 @@
-/** An engine with continuous batching in virtual time, before a limit. @module */
+/**
+ * Simulates an engine with continuous batching in virtual time, behind a queue and a
+ * concurrency limit.
+ * @module
+ */
 import type { ConcurrencyLimit, Cost, WaitingQueue } from "../src/mod.ts";
 
-/** Milliseconds of a step at speed 1. */
+/** Milliseconds of a step at speed 1, without any work. */
 const STEP = 12;
+/** Milliseconds that a step takes longer for each sequence that decodes. */
 const STEP_PER_SEQUENCE = 0.3;
+/** Milliseconds that a step takes longer for each prompt token. */
 const STEP_PER_PROMPT_TOKEN = 0.05;
 const PROMPT_TOKENS_PER_STEP = 512;
 
@@ -12,18 +18,22 @@
   cost: Cost;
   prompt: number;
   output: number;
-  asked: number;
+  arrived: number;
 };
 
-/** What the engine runs at once; what is beyond waits inside it, in order. */
+/** What the engine runs at once; more requests wait inside it in order of arrival. */
 export type EngineLimits = { sequences?: number; tokens?: number };
 
-/** What a caller received. */
-export type Answer = { id: string; firstToken: number; finished?: number };
+/** Times of a response in milliseconds since the request arrived. */
+export type SimulatedResponse = {
+  id: string;
+  firstToken: number;
+  finished?: number;
+};
 
-/** Grants from its queue as its limit allows, and runs step by step. */
+/** Takes requests from the queue as the limit allows, and runs them step by step. */
 export class SimulatedEngine {
-  readonly answers = new Map<string, Answer>();
+  readonly answers = new Map<string, SimulatedResponse>();
   now = 0;
   speed = 1;
   /** Factor of the next step's duration, for noise. */
@@ -31,17 +41,17 @@
   steps = 0;
   readonly #queue: WaitingQueue;
   readonly #limit: ConcurrencyLimit;
-  readonly #bounds: EngineLimits;
+  readonly #limits: EngineLimits;
   readonly #running = new Set<Sequence>();
 
   constructor(
     queue: WaitingQueue,
     limit: ConcurrencyLimit,
-    bounds: EngineLimits = {},
+    limits: EngineLimits = {},
   ) {
     this.#queue = queue;
     this.#limit = limit;
-    this.#bounds = bounds;
+    this.#limits = limits;
   }
 
   /** Runs until `end`; `arrive` is called before each step. */
@@ -59,7 +69,10 @@
 
   #grant(): void {
     for (;;) {
-      const next = this.#queue.take(this.now, (one) => this.#limit.admits(one));
+      const next = this.#queue.take(
+        this.now,
+        (reservation) => this.#limit.admits(reservation),
+      );
       if (next === undefined) {
         return;
       }
@@ -67,18 +80,18 @@
       this.#limit.started(id, cost, this.now);
       const { promptTokens, outputTokens } = cost;
       const sequence = { id, prompt: promptTokens, output: outputTokens };
-      this.#running.add({ ...sequence, cost, asked: arrived });
+      this.#running.add({ ...sequence, cost, arrived });
     }
   }
 
   #batch(): Sequence[] {
-    const { sequences = Infinity, tokens = Infinity } = this.#bounds;
+    const { sequences = Infinity, tokens = Infinity } = this.#limits;
     const batch: Sequence[] = [];
-    let held = 0;
+    let batchTokens = 0;
     for (const sequence of this.#running) {
       const { promptTokens, outputTokens } = sequence.cost;
-      held += promptTokens + outputTokens;
-      if (held > tokens || batch.length >= sequences) {
+      batchTokens += promptTokens + outputTokens;
+      if (batchTokens > tokens || batch.length >= sequences) {
         break;
       }
       batch.push(sequence);
@@ -103,21 +116,21 @@
   }
 
   #token(sequence: Sequence): void {
-    const { id, asked } = sequence;
-    const known = this.answers.get(id);
-    const answer = known ?? { id, firstToken: this.now - asked };
-    this.answers.set(id, answer);
+    const { id, arrived } = sequence;
+    const started = this.answers.get(id);
+    const response = started ?? { id, firstToken: this.now - arrived };
+    this.answers.set(id, response);
     this.#limit.progressed(id, 1, this.now);
     sequence.output -= 1;
     if (sequence.output <= 0) {
-      answer.finished = this.now - asked;
+      response.finished = this.now - arrived;
       this.#running.delete(sequence);
       this.#limit.finished(id, "ok", this.now);
     }
   }
 }
 
-/** A prompt and an answer in tokens. */
+/** Returns a cost in tokens of the prompt and of the response. */
 export function tokenCost(promptTokens: number, outputTokens: number): Cost {
   return { promptTokens, outputTokens };
 }
