--- a/packages/decisions/src/dispatch/grant_request.ts
+++ b/packages/decisions/src/dispatch/grant_request.ts
@@ -1,10 +1,13 @@
-/** Requests for a slot at a backend server, and the decisions on them. @module */
+/**
+ * Requests for a slot at a backend server, and the decisions on them.
+ * @module
+ */
 import type { Cost } from "../queueing/mod.ts";
 
 /**
- * A request for a slot at a backend server. Times are milliseconds of the granting
- * entry's own clock. The HTTP request itself, with its body, stays with the entry
- * that sends the grant request.
+ * A request for a slot at a backend server. Times are milliseconds of the
+ * granting entry's own clock. The HTTP request itself, with its body, stays
+ * with the entry that sends the grant request.
  */
 export type GrantRequest = {
   /** Unique in the fleet: the requesting entry's incarnation and a number. */
@@ -18,12 +21,12 @@
   /** Empty if the route is open to all. */
   organisation: string;
   dataCentre: string;
-  /** Tokens of the prompt, and the expected number of tokens of the response. */
+  /** Prompt tokens, and the expected number of response tokens. */
   cost: Cost;
   /** Tokens that are charged to the organisation's quota. */
   charge: number;
   arrived: number;
-  /** Time by which the response has to start to meet the route's latency goal. */
+  /** Time by which the response has to start to meet its latency goal. */
   latencyGoalAt: number;
   /** Time after which a grant can no longer be used. */
   expiresAt: number;
@@ -32,8 +35,8 @@
   /** Identical for all attempts of a caller to send the same request. */
   fingerprint: string;
   /**
-   * Random number in [0, 1) that varies the retry delay, so that callers that are
-   * refused together do not retry together.
+   * Random number in [0, 1) that varies the retry delay, so that callers that
+   * are refused together do not retry together.
    */
   jitter: number;
   /** Servers that have been tried for this request and must not be selected. */
@@ -44,8 +47,8 @@
 export type GrantRefusalReason = "quota" | "overload" | "no_server" | "expired";
 
 /**
- * Whether a waiting request can still meet its latency goal: `timely` and `late`.
- * `returned` is a retry by a caller that was refused before.
+ * Standing of a waiting request: `timely` if it can still meet its latency goal,
+ * `returned` if it is the retry of a caller that was refused, otherwise `late`.
  */
 export type RequestStanding = "timely" | "returned" | "late";
 
--- a/packages/decisions/src/dispatch/group_scheduler.ts
+++ b/packages/decisions/src/dispatch/group_scheduler.ts
@@ -1,7 +1,7 @@
 /**
  * Schedules all requests that one entry grants for its group: it checks quotas,
- * then passes each request to the scheduler of its service. One entry grants for
- * all entries of its group; an entry without peers grants for itself.
+ * then passes each request to the scheduler of its service. One entry grants
+ * for all entries of its group; an entry without peers grants for itself.
  * @module
  */
 import type { ServerRecord } from "../discovery/mod.ts";
@@ -26,9 +26,9 @@
 ]);
 
 /**
- * Minimum retry delay in milliseconds after a refusal for the quota; jitter up to
- * doubles it. Other requests of the organisation compete for the next tokens too,
- * and a caller has one retry.
+ * Minimum retry delay in milliseconds after a refusal for the quota; jitter up
+ * to doubles it. Other requests of the organisation compete for the next tokens
+ * too, and a caller has one retry.
  */
 const MINIMUM_QUOTA_RETRY_DELAY = 1000;
 
@@ -43,7 +43,10 @@
   granted: number;
 };
 
-/** Grants requests for a group of entries; decisions are made by {@link GroupScheduler.decide}. */
+/**
+ * Grants requests for a group of entries; decisions are made by {@link
+ * GroupScheduler.decide}.
+ */
 export class GroupScheduler {
   readonly #services = new Map<string, ServiceScheduler>();
   readonly #quotas: OrganisationQuotas;
@@ -58,7 +61,9 @@
     this.#quotas = new OrganisationQuotas(leeway);
   }
 
-  /** Replaces the set of servers, of all services, that may be sent requests. */
+  /**
+   * Replaces the set of servers, of all services, that may be sent requests.
+   */
   setServers(records: readonly ServerRecord[]): void {
     const byService = new Map<string, ServerRecord[]>();
     for (const record of records) {
@@ -79,7 +84,10 @@
     this.#quotas.setLeeway(leeway);
   }
 
-  /** Sets the quotas, and the fractions of the fleet's capacity and quotas to use. */
+  /**
+   * Sets the quotas, and the fractions of the fleet's capacity and quotas to
+   * use.
+   */
   setQuotas(
     quotas: ReadonlyMap<string, Quota>,
     fractions: GroupFractions,
@@ -92,7 +100,10 @@
     }
   }
 
-  /** Queues a request, or refuses it at once. Ignores a request that it has already. */
+  /**
+   * Queues a request, or refuses it at once. Ignores a request that it has
+   * already.
+   */
   submit(request: GrantRequest, now: number): GrantDecision | undefined {
     if (this.#requests.has(request.id)) return undefined;
     const wait = this.#quotas.waitFor(
@@ -111,14 +122,19 @@
     return decision;
   }
 
-  /** Removes a request that does not run: it stopped waiting, or its grant is unused. */
+  /**
+   * Removes a request that does not run: it stopped waiting, or its grant is
+   * unused.
+   */
   withdraw(request: GrantRequest): void {
     if (this.#remove(request)) {
       this.#quotas.refund(request.organisation, request.charge);
     }
   }
 
-  /** Removes a request that another entry counts from now on; it stays charged. */
+  /**
+   * Removes a request that another entry counts from now on; it stays charged.
+   */
   release(request: GrantRequest): void {
     this.#remove(request);
   }
--- a/packages/decisions/src/dispatch/latency_ratio.ts
+++ b/packages/decisions/src/dispatch/latency_ratio.ts
@@ -3,11 +3,11 @@
  * further token.
  *
  * Engines differ widely in speed. Balanced by the number of requests alone, the
- * slowest engines would get as many as the fastest, and their long responses would
- * miss the deadline. Latencies are learned from responses, relative to nominal
- * ones, so that no engine's speed has to be configured. What was learned of a
- * server that is sent no requests fades; otherwise one slow response would exclude
- * it for good.
+ * slowest engines would get as many as the fastest, and their long responses
+ * would miss the deadline. Latencies are learned from responses, relative to
+ * nominal ones, so that no engine's speed has to be configured. What was
+ * learned of a server that is sent no requests fades; otherwise one slow
+ * response would exclude it for good.
  * @module
  */
 import type { Cost } from "../queueing/mod.ts";
@@ -28,8 +28,8 @@
 const MINIMUM_RATIO = 0.1;
 const MAXIMUM_RATIO = 5;
 /**
- * Milliseconds after the last observation from which on a ratio fades; it fades to
- * a third in the same time again.
+ * Milliseconds after the last observation from which on a ratio fades; it fades
+ * to a third in the same time again.
  */
 const FADE_TIME = 4000;
 
@@ -57,15 +57,18 @@
 }
 
 /**
- * Nominal milliseconds of slot time that a request costs. Beside its own time this
- * is the delay of other responses, as prefill is interleaved with their decoding.
+ * Nominal milliseconds of slot time that a request costs. Beside its own time
+ * this is the delay of other responses, as prefill is interleaved with their
+ * decoding.
  */
 export function nominalSlotTime(cost: Cost): number {
   const prefillTime = cost.promptTokens / PROMPT_TOKENS_PER_MILLISECOND;
   return nominalTotalTime(cost) + prefillTime * DELAYED_BY_PREFILL;
 }
 
-/** Ratio of measured to nominal latency, of one server or of a whole service. */
+/**
+ * Ratio of measured to nominal latency, of one server or of a whole service.
+ */
 export class LatencyRatio {
   #ratio: number | undefined;
   #observedAt = 0;
@@ -75,7 +78,10 @@
     return this.#ratio !== undefined;
   }
 
-  /** Above 1 is slower than nominal. Fades to `fallback`, which is also the start. */
+  /**
+   * Above 1 is slower than nominal. Fades to `fallback`, which is also the
+   * start.
+   */
   value(now: number, fallback: number): number {
     if (this.#ratio === undefined) return fallback;
     const age = Math.max(0, now - this.#observedAt - FADE_TIME);
--- a/packages/decisions/src/dispatch/pooled_server.ts
+++ b/packages/decisions/src/dispatch/pooled_server.ts
@@ -1,6 +1,6 @@
 /**
- * One backend server as its granting entry knows it: what it runs for the group,
- * how fast it is, and whether it can take another request.
+ * One backend server as its granting entry knows it: what it runs for the
+ * group, how fast it is, and whether it can take another request.
  * @module
  */
 import type { ServerRecord } from "../discovery/mod.ts";
@@ -18,8 +18,8 @@
 
 /**
  * Milliseconds of prefill that may be pending at a server at a time. Prefill is
- * interleaved with the decoding of other requests; with more of it, the pauses in
- * their responses exceed the 250 ms that callers accept.
+ * interleaved with the decoding of other requests; with more of it, the pauses
+ * in their responses exceed the 250 ms that callers accept.
  */
 const MAXIMUM_PENDING_PREFILL = 400;
 /** Fraction of the time left that a response may be expected to take. */
@@ -30,13 +30,16 @@
 const MAXIMUM_BACKOFF = 2000;
 
 /**
- * Factor of the service's latency that is assumed for a server without observations.
- * It is a little below 1, so that every server is tried, and so that one slow start
- * does not keep a server from being selected.
+ * Factor of the service's latency that is assumed for a server without
+ * observations. It is a little below 1, so that every server is tried, and so
+ * that one slow start does not keep a server from being selected.
  */
 const UNKNOWN_SERVER_RATIO = 0.8;
 
-/** Latency ratios of a whole service, the default for servers without observations. */
+/**
+ * Latency ratios of a whole service, the default for servers without
+ * observations.
+ */
 export type ServiceLatencyRatios = { firstToken: number; decode: number };
 
 /** Timing of a response after its first token. */
@@ -52,16 +55,16 @@
 type Run = {
   entry: string;
   cost: Cost;
-  /** The response has not started. */
+  /** Its prompt counts as pending prefill, as the response has not started. */
   inPrefill: boolean;
-  /** Maximum of the server's pending prefill during the run, in prompt tokens. */
+  /** Maximum prompt tokens of pending prefill at the server during the run. */
   maximumPendingPrefill: number;
 };
 
 /** What the group may use of a server; see {@link GroupFractions}. */
 export type UsageBounds = {
   fractions: GroupFractions;
-  /** The rate that the server accepts from all entries together, if it states one. */
+  /** The rate limit for all entries together, if the server states one. */
   limit: ServerLimit | undefined;
 };
 
@@ -99,9 +102,9 @@
   }
 
   /**
-   * Slots that the group can use. They are fewer than its fraction of the server's
-   * slots if the rate limit lets fewer requests start within `runTime`, the mean
-   * time of a request in milliseconds.
+   * Slots that the group can use. They are fewer than its fraction of the
+   * server's slots if the rate limit lets fewer requests start within
+   * `runTime`, the mean time of a request in milliseconds.
    */
   usableSlots(
     { fractions, limit }: UsageBounds,
@@ -115,8 +118,8 @@
   }
 
   /**
-   * True if the request may be sent to this server. `largestPrefillLimit` is the
-   * largest of all servers of the service.
+   * True if the request may be sent to this server. `largestPrefillLimit` is
+   * the largest of all servers of the service.
    */
   admits(
     request: GrantRequest,
@@ -239,7 +242,9 @@
     return this.#runs.delete(id);
   }
 
-  /** Removes the runs of an entry, whose connections to the server have ended. */
+  /**
+   * Removes the runs of an entry, whose connections to the server have ended.
+   */
   removeEntry(entry: string): void {
     for (const [id, run] of this.#runs) {
       if (run.entry === entry) this.removeRun(id);
@@ -248,8 +253,8 @@
 
   /**
    * Stops sending requests for the backoff time, because nothing listens at the
-   * address or another server does. Otherwise a crashed server would look idle and
-   * attract all requests.
+   * address or another server does. Otherwise a crashed server would look idle
+   * and attract all requests.
    */
   markDown(now: number): void {
     this.#backoff = this.#backoff === 0
@@ -259,9 +264,9 @@
   }
 
   /**
-   * Records that a connection attempt of an entry timed out: either the path from
-   * that entry is broken, or the server is. The server counts as down if several
-   * entries fail to reach it.
+   * Records that a connection attempt of an entry timed out: either the path
+   * from that entry is broken, or the server is. The server counts as down if
+   * several entries fail to reach it.
    */
   markUnreachableFrom(entry: string, now: number): void {
     for (const [other, until] of this.#unreachableFrom) {
@@ -282,8 +287,8 @@
   }
 
   /**
-   * A prompt that is larger than every server's limit is admitted by a server with
-   * the largest limit, while no other prefill is pending there.
+   * A prompt that is larger than every server's limit is admitted by a server
+   * with the largest limit, while no other prefill is pending there.
    */
   #admitsPrefill(tokens: number, largestPrefillLimit: number): boolean {
     if (this.#pendingPrefillTokens + tokens <= this.#prefillLimit.tokens) {
@@ -299,8 +304,8 @@
   }
 
   /**
-   * After a failed connection attempt a server is sent a single request first: it
-   * may refuse again, and each refusal costs its caller a round trip.
+   * After a failed connection attempt a server is sent a single request first:
+   * it may refuse again, and each refusal costs its caller a round trip.
    */
   #maximumRuns(fraction: number): number {
     return this.#backoff > 0 ? 1 : this.record.slots * fraction;
--- a/packages/decisions/src/dispatch/prefill_limit.ts
+++ b/packages/decisions/src/dispatch/prefill_limit.ts
@@ -1,37 +1,39 @@
 /**
  * Limits the prompt tokens of pending prefill at a server.
  *
- * Engines interleave prefill with the decoding of all other responses, and differ
- * widely in speed: prefill that is not noticeable at a fast engine stalls every
- * response of a slow one. The limit is learned from the pauses in responses, so
- * that a slow server is sent short prompts only.
+ * Engines interleave prefill with the decoding of all other responses, and
+ * differ widely in speed: prefill that is not noticeable at a fast engine
+ * stalls every response of a slow one. The limit is learned from the pauses in
+ * responses, so that a slow server is sent short prompts only.
  * @module
  */
 
 /**
- * Prompt tokens before the first observation: six prefill chunks of 2,048 tokens,
- * one for each engine step between two events of a response.
+ * Prompt tokens before the first observation: six prefill chunks of 2,048
+ * tokens, one for each engine step between two events of a response.
  */
 const INITIAL_LIMIT = 12_000;
 /**
- * Prompt tokens of about one prefill chunk. With a lower limit no response could show
- * that a server has recovered.
+ * Prompt tokens of about one prefill chunk. With a lower limit no response
+ * could show that a server has recovered.
  */
 const MINIMUM_LIMIT = 2000;
 /** In prompt tokens; the largest prompts have 55,000. */
 const MAXIMUM_LIMIT = 60_000;
-/** Fraction of the accepted pause above which the pending prefill was too much. */
+/**
+ * Fraction of the accepted pause above which the pending prefill was too much.
+ */
 const MAXIMUM_PAUSE_FRACTION = 0.8;
 /** The limit is lowered to this fraction of the amount that was too much. */
 const LOWERED_FRACTION = 0.8;
 /**
- * Smallest factor by which one response lowers the limit, since its pause may have
- * had another cause.
+ * Smallest factor by which one response lowers the limit, since its pause may
+ * have had another cause.
  */
 const STRONGEST_REDUCTION = 0.7;
 /**
- * Factor by which a response without long pauses raises the limit, if the pending
- * prefill was near the limit.
+ * Factor by which a response without long pauses raises the limit, if the
+ * pending prefill was near the limit.
  */
 const RAISE_FACTOR = 1.04;
 /** Fraction of the limit from which on pending prefill counts as near it. */
@@ -54,8 +56,8 @@
 
   /**
    * Updates the limit after a response. `pausePart` is its longest pause as a
-   * fraction of the pause that its caller accepts, `pendingPrefill` the maximum of
-   * pending prompt tokens at its server meanwhile.
+   * fraction of the pause that its caller accepts, `pendingPrefill` the maximum
+   * of pending prompt tokens at its server meanwhile.
    */
   observe(pausePart: number, pendingPrefill: number, now: number): void {
     if (pausePart > MAXIMUM_PAUSE_FRACTION) this.#lower(pendingPrefill, now);
--- a/packages/decisions/src/dispatch/priority_key.ts
+++ b/packages/decisions/src/dispatch/priority_key.ts
@@ -1,12 +1,13 @@
 /**
- * Orders waiting requests by the value of a response per time that it occupies a
- * slot.
+ * Orders waiting requests by the value of a response per time that it occupies
+ * a slot.
  *
  * In a burst slots are scarce, and responses differ widely in how long they
  * occupy one: in order of arrival most slot time would go to the few longest
- * responses. Each tier is worth a fixed factor more than the next one, so a long
- * response of a high tier may wait behind short ones of the next tier. A response
- * that misses its latency goal has a fraction of the value of a timely one.
+ * responses. Each tier is worth a fixed factor more than the next one, so a
+ * long response of a high tier may wait behind short ones of the next tier. A
+ * response that misses its latency goal has a fraction of the value of a timely
+ * one.
  * @module
  */
 import type { GrantRequest, RequestStanding } from "./grant_request.ts";
@@ -22,19 +23,19 @@
 /** Value of a late response as a fraction of a timely one's. */
 const LATE_VALUE = 0.02;
 /**
- * Value of a response to a retrying caller as a fraction of a timely one's. It is
- * higher than that of other late responses, as a second refusal is final.
+ * Value of a response to a retrying caller as a fraction of a timely one's. It
+ * is higher than that of other late responses, as a second refusal is final.
  */
 const RETRY_VALUE = 0.4;
 /**
- * Weight of a millisecond of arrival time in the key: equal requests are served first
- * come, first served.
+ * Weight of a millisecond of arrival time in the key: equal requests are served
+ * first come, first served.
  */
 const ARRIVAL_WEIGHT = 1e-6;
 
 /**
- * Returns the sort key of a request; the smallest key is served first. `value` is
- * the value of the response relative to others of its tier and route.
+ * Returns the sort key of a request; the smallest key is served first. `value`
+ * is the value of the response relative to others of its tier and route.
  */
 export function priorityKey(
   request: GrantRequest,
--- a/packages/decisions/src/dispatch/quota_reservations.ts
+++ b/packages/decisions/src/dispatch/quota_reservations.ts
@@ -4,14 +4,16 @@
  * When an organisation exceeds its quota, small requests consume each token as
  * the bucket refills, and a large request never finds enough. To prevent this
  * starvation, incoming tokens are reserved for the first request in queue order
- * that finds the balance too low. Other requests of the organisation are charged
- * only if the balance covers them in addition to the reservation.
+ * that finds the balance too low. Other requests of the organisation are
+ * charged only if the balance covers them in addition to the reservation.
  * @module
  */
 import type { OrganisationQuotas } from "../quotas/mod.ts";
 import type { GrantRequest } from "./grant_request.ts";
 
-/** Quota reservations in the queue of one service, at most one per organisation. */
+/**
+ * Quota reservations in the queue of one service, at most one per organisation.
+ */
 export class QuotaReservations {
   readonly #quotas: OrganisationQuotas;
   /** The request that holds the reservation, by organisation. */
@@ -22,8 +24,9 @@
   }
 
   /**
-   * True if the request can be charged now. Otherwise reserves the organisation's
-   * tokens for it, unless another request already holds the reservation.
+   * True if the request can be charged now. Otherwise reserves the
+   * organisation's tokens for it, unless another request already holds the
+   * reservation.
    */
   allows(request: GrantRequest, now: number): boolean {
     const { organisation, charge } = request;
--- a/packages/decisions/src/dispatch/request_queue.ts
+++ b/packages/decisions/src/dispatch/request_queue.ts
@@ -76,9 +76,10 @@
   }
 
   /**
-   * Passes the requests in order to `visitor` until it returns `stop`, and removes
-   * those that it takes. Requests for which no server is available are passed
-   * over, so that a slot that only suits a later request is not left idle.
+   * Passes the requests in order to `visitor` until it returns `stop`, and
+   * removes those that it takes. Requests for which no server is available are
+   * passed over, so that a slot that only suits a later request is not left
+   * idle.
    */
   visit(visitor: (queued: QueuedRequest) => VisitResult): void {
     const passedOver: QueuedRequest[] = [];
--- a/packages/decisions/src/dispatch/response_value.ts
+++ b/packages/decisions/src/dispatch/response_value.ts
@@ -1,17 +1,17 @@
 /**
- * Estimates the value of a response from its size, relative to other responses of
- * its tier and route.
+ * Estimates the value of a response from its size, relative to other responses
+ * of its tier and route.
  *
- * In a burst not all requests of a tier can be served. A large response is worth
- * several short ones and takes correspondingly longer. Ordered by time alone, the
- * largest responses of each tier would never be served.
+ * In a burst not all requests of a tier can be served. A large response is
+ * worth several short ones and takes correspondingly longer. Ordered by time
+ * alone, the largest responses of each tier would never be served.
  * @module
  */
 import type { Cost } from "../queueing/mod.ts";
 
 /**
- * Value of a response of size zero, relative to one of mean size. This and the next
- * three are weights that users give to responses.
+ * Value of a response of size zero, relative to one of mean size. This and the
+ * next three are weights that users give to responses.
  */
 const MINIMUM_VALUE = 0.3;
 /** Value that a response gains for each multiple of the mean size. */
@@ -20,7 +20,9 @@
 const MAXIMUM_VALUE = 4;
 /** Number of prompt tokens that have the value of one token of the response. */
 const PROMPT_TOKENS_PER_TOKEN = 10;
-/** Weight of the newest size in the mean, which covers about the last hundred. */
+/**
+ * Weight of the newest size in the mean, which covers about the last hundred.
+ */
 const NEWEST_WEIGHT = 0.01;
 /** Number of first sizes that are averaged with equal weights. */
 const FIRST_SIZES = 1 / NEWEST_WEIGHT;
@@ -32,8 +34,8 @@
   readonly #means = new Map<string, Mean>();
 
   /**
-   * Returns the value of a response, which is 1 at the mean size of its priority
-   * class, and updates the mean.
+   * Returns the value of a response, which is 1 at the mean size of its
+   * priority class, and updates the mean.
    */
   observe(priorityClass: string, cost: Cost): number {
     const size = weightedTokens(cost);
--- a/packages/decisions/src/dispatch/retry_after.ts
+++ b/packages/decisions/src/dispatch/retry_after.ts
@@ -4,10 +4,11 @@
 /** Delay in milliseconds while the service has no server. */
 const RETRY_WITHOUT_SERVER = 300;
 /**
- * Maximum milliseconds after a refusal for lack of capacity. This is longer than a
- * burst, since a caller that retries within the same burst is refused for good.
- * Callers wait for a third of their time left at most. Jitter spreads the delay
- * over its upper half, so that callers refused together do not retry together.
+ * Maximum milliseconds after a refusal for lack of capacity. This is longer
+ * than a burst, since a caller that retries within the same burst is refused
+ * for good. Callers wait for a third of their time left at most. Jitter spreads
+ * the delay over its upper half, so that callers refused together do not retry
+ * together.
  */
 const MAXIMUM_DELAY = 5000;
 /** Maximum delay as a fraction of the time to the deadline. */
--- a/packages/decisions/src/dispatch/retrying_callers.ts
+++ b/packages/decisions/src/dispatch/retrying_callers.ts
@@ -1,15 +1,19 @@
 /**
  * Recognises callers that retry after a refusal, at whichever entry.
  *
- * For its caller a request that has been refused once is late from then on, and a
- * second refusal is final. Treated as a new request, the retry would be served
- * before others that can still be timely, or be refused again.
+ * For its caller a request that has been refused once is late from then on, and
+ * a second refusal is final. Treated as a new request, the retry would be
+ * served before others that can still be timely, or be refused again.
  * @module
  */
 
-/** Milliseconds for which a refusal is remembered: callers' longest deadline. */
+/**
+ * Milliseconds for which a refusal is remembered: callers' longest deadline.
+ */
 const RETENTION = 15_000;
-/** Maximum number of remembered refusals, which covers some seconds of a burst. */
+/**
+ * Maximum number of remembered refusals, which covers some seconds of a burst.
+ */
 const CAPACITY = 4096;
 
 /** Refused requests by fingerprint; each refusal is matched with one retry. */
--- a/packages/decisions/src/dispatch/server_pool.ts
+++ b/packages/decisions/src/dispatch/server_pool.ts
@@ -1,6 +1,6 @@
 /**
- * The backend servers of one service: what each one runs, how fast it is, whether
- * it is ejected, and which one a request is sent to.
+ * The backend servers of one service: what each one runs, how fast it is,
+ * whether it is ejected, and which one a request is sent to.
  * @module
  */
 import { incarnationOf } from "../discovery/mod.ts";
@@ -120,7 +120,10 @@
     }
   }
 
-  /** Sets the fractions of each server's slots and rate limit that this group uses. */
+  /**
+   * Sets the fractions of each server's slots and rate limit that this group
+   * uses.
+   */
   setFractions(fractions: GroupFractions): void {
     this.#fractions = fractions;
   }
@@ -179,7 +182,10 @@
     this.#ejection.recordStart(name, now);
   }
 
-  /** Counts a run that another entry has granted; false if its server is unknown. */
+  /**
+   * Counts a run that another entry has granted; false if its server is
+   * unknown.
+   */
   adopt({ request, server: name }: GrantedRequest): boolean {
     const server = this.#servers.get(name);
     server?.recordStart(request);
@@ -201,8 +207,8 @@
   }
 
   /**
-   * Records how fast a response came after its first token. Must be called before
-   * {@link ServerPool.recordEnd}.
+   * Records how fast a response came after its first token. Must be called
+   * before {@link ServerPool.recordEnd}.
    */
   recordStreamTiming(
     { request, server }: GrantedRequest,
--- a/packages/decisions/src/dispatch/service_demand.ts
+++ b/packages/decisions/src/dispatch/service_demand.ts
@@ -7,7 +7,9 @@
  * @module
  */
 
-/** Milliseconds over which arrivals are counted; longer than a cluster of them. */
+/**
+ * Milliseconds over which arrivals are counted; longer than a cluster of them.
+ */
 const ARRIVAL_WINDOW = 2000;
 /** Milliseconds over which grants are counted. */
 const GRANT_WINDOW = 1000;
@@ -64,7 +66,9 @@
   }
 }
 
-/** Returns the items, in order of time, from the first one at or after `since`. */
+/**
+ * Returns the items, in order of time, from the first one at or after `since`.
+ */
 function itemsSince<Item>(
   items: Item[],
   since: number,
--- a/packages/decisions/src/dispatch/service_scheduler.ts
+++ b/packages/decisions/src/dispatch/service_scheduler.ts
@@ -2,10 +2,10 @@
  * The single queue in front of all backend servers of a service. Decides which
  * requests wait, which server each one is sent to, and which are refused.
  *
- * Engines have no priorities and admit requests in order of arrival, so a request
- * that waits inside an engine can no longer be reordered. Therefore a server is
- * sent no more than it runs at once. Requests that wait here can be reordered,
- * sent to another server or refused early. They are ordered by
+ * Engines have no priorities and admit requests in order of arrival, so a
+ * request that waits inside an engine can no longer be reordered. Therefore a
+ * server is sent no more than it runs at once. Requests that wait here can be
+ * reordered, sent to another server or refused early. They are ordered by
  * {@link priorityKey}. A request is refused, with a retry delay, once it can no
  * longer meet its latency goal and requests before it take up all capacity.
  * @module
@@ -39,12 +39,15 @@
 const NO_LEEWAY: QuotaLeeway = { window: 1000, overage: 0, slack: 0 };
 
 /**
- * Number of requests without an available server after which a pass over the queue
- * ends, to bound its duration.
+ * Number of requests without an available server after which a pass over the
+ * queue ends, to bound its duration.
  */
 const MAXIMUM_PASSED_OVER = 40;
 
-/** Grants the servers of one service; decisions are made by {@link ServiceScheduler.decide}. */
+/**
+ * Grants the servers of one service; decisions are made by {@link
+ * ServiceScheduler.decide}.
+ */
 export class ServiceScheduler {
   readonly #pool: ServerPool;
   readonly #demand = new ServiceDemand();
@@ -140,8 +143,8 @@
   }
 
   /**
-   * Records how fast a response came after its first token. Must be called before
-   * {@link ServiceScheduler.recordEnd}.
+   * Records how fast a response came after its first token. Must be called
+   * before {@link ServiceScheduler.recordEnd}.
    */
   recordStreamTiming(id: string, timing: StreamTiming, now: number): void {
     const granted = this.#granted.get(id);
@@ -183,8 +186,9 @@
   }
 
   /**
-   * Grants waiting requests in one pass over the queue. A second pass would grant
-   * nothing more, as free slots and quotas only decrease during the first.
+   * Grants waiting requests in one pass over the queue. A second pass would
+   * grant nothing more, as free slots and quotas only decrease during the
+   * first.
    */
   #grantWaiting(decisions: GrantDecision[], now: number): void {
     const snapshot = this.#pool.snapshot(now);
@@ -249,7 +253,10 @@
     });
   }
 
-  /** Refuses expired requests, and demotes or refuses those that have become late. */
+  /**
+   * Refuses expired requests, and demotes or refuses those that have become
+   * late.
+   */
   #updateStandings(now: number): GrantDecision[] {
     const decisions: GrantDecision[] = [];
     for (const queued of this.#queue.removeDue(now)) {
--- a/packages/decisions/src/dispatch/size_fairness.ts
+++ b/packages/decisions/src/dispatch/size_fairness.ts
@@ -2,11 +2,11 @@
  * Prevents the starvation of the largest requests of a priority class (tier and
  * route) while slots are scarce.
  *
- * The order by value per slot time puts the largest requests of a class last, and
- * as long as demand exceeds capacity the end of that order is never served.
+ * The order by value per slot time puts the largest requests of a class last,
+ * and as long as demand exceeds capacity the end of that order is never served.
  * Therefore the served fraction is tracked for each size class. While it is far
- * below that of the whole priority class, requests of the size class are ordered
- * like those of the priority class that are granted.
+ * below that of the whole priority class, requests of the size class are
+ * ordered like those of the priority class that are granted.
  * @module
  */
 import type { Cost } from "../queueing/mod.ts";
@@ -32,13 +32,15 @@
  */
 const MINIMUM_RELATIVE_FRACTION = 0.6;
 /**
- * Number of requests of a priority class in which its counts decay to a third, so
- * that what was served before a burst hardly offsets what is refused in it.
+ * Number of requests of a priority class in which its counts decay to a third,
+ * so that what was served before a burst hardly offsets what is refused in it.
  */
 const MEMORY = 300;
 /** Factor of the counts for each request. */
 const DECAY = Math.exp(-1 / MEMORY);
-/** Number of requests of a priority class before its fractions are significant. */
+/**
+ * Number of requests of a priority class before its fractions are significant.
+ */
 const MINIMUM_REQUESTS = 50;
 
 /** Counts recent requests and grants, for the fraction that is served. */
@@ -78,7 +80,9 @@
     usual: new ServedFraction(),
   };
   readonly sizes = new RecentQuantiles();
-  /** Slot time in milliseconds per value of the response, of granted requests. */
+  /**
+   * Slot time in milliseconds per value of the response, of granted requests.
+   */
   readonly grantedSlotTimes = new RecentQuantiles();
 
   countRequest(size: number, sizeClass: SizeClass): void {
@@ -89,7 +93,9 @@
     this.classes[sizeClass].countRequest();
   }
 
-  /** True while the size class is served far less often than the priority class. */
+  /**
+   * True while the size class is served far less often than the priority class.
+   */
   isUnderserved(sizeClass: SizeClass): boolean {
     if (this.all.requested < MINIMUM_REQUESTS) return false;
     const minimum = MINIMUM_RELATIVE_FRACTION * this.all.value;
@@ -105,14 +111,20 @@
   }
 }
 
-/** The class that a request is counted in; see {@link SizeFairness.recordRequest}. */
+/**
+ * The class that a request is counted in; see {@link
+ * SizeFairness.recordRequest}.
+ */
 export type RequestClass = { priorityClass: string; sizeClass: SizeClass };
 
 /** Tracks served fractions by priority class and size class. */
 export class SizeFairness {
   readonly #statistics = new Map<string, PriorityClassStatistics>();
 
-  /** Counts a request, except for a retry, which was counted when it was refused. */
+  /**
+   * Counts a request, except for a retry, which was counted when it was
+   * refused.
+   */
   recordRequest(
     priorityClass: string,
     cost: Cost,
@@ -127,7 +139,9 @@
     return { priorityClass, sizeClass };
   }
 
-  /** Counts a grant. `slotTime` is in milliseconds per value of the response. */
+  /**
+   * Counts a grant. `slotTime` is in milliseconds per value of the response.
+   */
   recordGrant(
     { priorityClass, sizeClass }: RequestClass,
     slotTime: number,
--- a/packages/decisions/src/estimates/cost_estimator.ts
+++ b/packages/decisions/src/estimates/cost_estimator.ts
@@ -2,28 +2,32 @@
  * Estimates the cost of a request before it runs.
  *
  * Requests differ widely: an identification costs fifty tokens, a quote five
- * thousand. If each counted as one, an organisation that sends quotes would take a
- * hundred times its fair share, and an engine would be filled with quotes.
+ * thousand. If each counted as one, an organisation that sends quotes would
+ * take a hundred times its fair share, and an engine would be filled with
+ * quotes.
  *
- * Prompt tokens are estimated from the size of the body and the observed bytes per
- * token. Output tokens are the mean observed for the same service, route, prompt
- * size and organisation. While observations are few, the mean is shrunk towards that
- * of the next wider group: a new organisation starts with the usual cost of the
- * route, and a new service with a medium one. Prompt sizes are grouped by factors of
- * four, to distinguish long and short requests of a route.
+ * Prompt tokens are estimated from the size of the body and the observed bytes
+ * per token. Output tokens are the mean observed for the same service, route,
+ * prompt size and organisation. While observations are few, the mean is shrunk
+ * towards that of the next wider group: a new organisation starts with the
+ * usual cost of the route, and a new service with a medium one. Prompt sizes
+ * are grouped by factors of four, to distinguish long and short requests of a
+ * route.
  * @module
  */
 import type { Cost } from "../queueing/waiting_reservation.ts";
 import { LruMap } from "./lru_map.ts";
 import { RunningMean } from "./running_mean.ts";
 
-/** Maximum number of means: at some 100 bytes each they take under a megabyte. */
+/**
+ * Maximum number of means: at some 100 bytes each they take under a megabyte.
+ */
 const CAPACITY = 8192;
 /** Bytes of body per token before the first observation. */
 const INITIAL_BYTES_PER_TOKEN = 4;
 /**
- * Output tokens of a service without observations: between an identification and a
- * quote.
+ * Output tokens of a service without observations: between an identification
+ * and a quote.
  */
 const INITIAL_OUTPUT_TOKENS = 256;
 /** Binary digits of the prompt's size that a class spans: a factor of four. */
@@ -61,7 +65,9 @@
     };
   }
 
-  /** Learns from a complete response; an incomplete one does not show the cost. */
+  /**
+   * Learns from a complete response; an incomplete one does not show the cost.
+   */
   observe(
     completed: RequestShape & { promptTokens?: number; outputTokens: number },
   ): void {
--- a/packages/decisions/src/estimates/drain_rate.ts
+++ b/packages/decisions/src/estimates/drain_rate.ts
@@ -1,11 +1,13 @@
 /**
- * Estimates how fast a queue drains, and from it when a refused caller should retry.
+ * Estimates how fast a queue drains, and from it when a refused caller should
+ * retry.
  *
- * Under overload with retrying callers, a fixed Retry-After either brings all of
- * them back while the queue is still full, or leaves the engine idle after a short
- * burst. Completed work is counted with exponential decay over ten seconds, which
- * covers a few long responses, yet shows a slow engine within seconds. Jitter of up
- * to half the wait keeps callers that were refused together from retrying together.
+ * Under overload with retrying callers, a fixed Retry-After either brings all
+ * of them back while the queue is still full, or leaves the engine idle after a
+ * short burst. Completed work is counted with exponential decay over ten
+ * seconds, which covers a few long responses, yet shows a slow engine within
+ * seconds. Jitter of up to half the wait keeps callers that were refused
+ * together from retrying together.
  * @module
  */
 
@@ -20,7 +22,9 @@
 /** Maximum jitter as a fraction of the wait. */
 const MAXIMUM_JITTER = 0.5;
 
-/** Measures completed work per millisecond and derives waiting times from it. */
+/**
+ * Measures completed work per millisecond and derives waiting times from it.
+ */
 export class DrainRate {
   #work = 0;
   #lastObservedAt: number | undefined;
@@ -44,8 +48,8 @@
   }
 
   /**
-   * Milliseconds after which `queuedWorkAhead` is expected to have drained, with
-   * jitter from `random`, a number from 0 to 1.
+   * Milliseconds after which `queuedWorkAhead` is expected to have drained,
+   * with jitter from `random`, a number from 0 to 1.
    */
   retryAfter(queuedWorkAhead: number, now: number, random: number): number {
     const wait = this.expectedWait(queuedWorkAhead, now);
--- a/packages/decisions/src/estimates/lru_map.ts
+++ b/packages/decisions/src/estimates/lru_map.ts
@@ -1,6 +1,8 @@
 /** Map that evicts its least recently used entry when it is full. @module */
 
-/** Bounds the memory that callers with many routes or organisations can use up. */
+/**
+ * Bounds the memory that callers with many routes or organisations can use up.
+ */
 export class LruMap<Key, Value> {
   readonly #capacity: number;
   readonly #entries = new Map<Key, Value>();
--- a/packages/decisions/src/estimates/recent_quantiles.ts
+++ b/packages/decisions/src/estimates/recent_quantiles.ts
@@ -18,7 +18,9 @@
     this.#unsorted++;
   }
 
-  /** Returns the `quantile`, from 0 to 1; `undefined` before the first value. */
+  /**
+   * Returns the `quantile`, from 0 to 1; `undefined` before the first value.
+   */
   value(quantile: number): number | undefined {
     this.#sort();
     const last = this.#sorted.length - 1;
--- a/packages/decisions/src/estimates/running_mean.ts
+++ b/packages/decisions/src/estimates/running_mean.ts
@@ -1,4 +1,7 @@
-/** Running mean that follows changes, with the number of its observations. @module */
+/**
+ * Running mean that follows changes, with the number of its observations.
+ * @module
+ */
 
 /** Number of observations after which the mean decays exponentially. */
 const WINDOW = 50;
--- a/packages/decisions/src/estimates/service_time_estimator.ts
+++ b/packages/decisions/src/estimates/service_time_estimator.ts
@@ -1,20 +1,21 @@
 /**
- * Estimates how long one backend server, or one generation of servers, takes for a
- * request of a given cost.
+ * Estimates how long one backend server, or one generation of servers, takes
+ * for a request of a given cost.
  *
- * Engines differ in speed, and requests may have little time left. A request granted
- * to an engine that cannot complete it in time wastes its whole prefill; so does one
- * that was held back by an estimate from a faster engine.
+ * Engines differ in speed, and requests may have little time left. A request
+ * granted to an engine that cannot complete it in time wastes its whole
+ * prefill; so does one that was held back by an estimate from a faster engine.
  *
  * The time to first token is a base plus a time per prompt token, by linear
- * regression with exponential forgetting. The decode time is proportional to the
- * output tokens.
+ * regression with exponential forgetting. The decode time is proportional to
+ * the output tokens.
  *
- * Estimates that must fit a deadline are half as long again as the mean. Responses
- * vary in length: at a slow engine where the mean just fits, every second response
- * would be late after its whole prefill, while a refusal sends the request to a
- * faster engine. At a load of twice the capacity this halves the prefill of late
- * responses. A margin of two would refuse the longest work at all engines.
+ * Estimates that must fit a deadline are half as long again as the mean.
+ * Responses vary in length: at a slow engine where the mean just fits, every
+ * second response would be late after its whole prefill, while a refusal sends
+ * the request to a faster engine. At a load of twice the capacity this halves
+ * the prefill of late responses. A margin of two would refuse the longest work
+ * at all engines.
  * @module
  */
 import type { Cost } from "../queueing/waiting_reservation.ts";
@@ -25,7 +26,10 @@
 const FORGETTING = 0.98;
 /** Initial estimate: milliseconds to the first token, without the prefill. */
 const INITIAL_FIRST_TOKEN = 100;
-/** Initial estimate: milliseconds per prompt token, i.e. 2,000 tokens per second. */
+/**
+ * Initial estimate: milliseconds per prompt token, i.e. 2,000 tokens per
+ * second.
+ */
 const INITIAL_PER_PROMPT_TOKEN = 0.5;
 /** Initial estimate: milliseconds per output token. */
 const INITIAL_PER_OUTPUT_TOKEN = 38;
--- a/packages/decisions/src/granting/reservation_decision.ts
+++ b/packages/decisions/src/granting/reservation_decision.ts
@@ -1,4 +1,4 @@
-/** Decisions on reservations, which are sent to the entries that made them. @module */
+/** Decisions on reservations, sent to the entries that made them. @module */
 
 /** Why a reservation was refused or lost its grant. */
 export type ReservationRefusalReason =
@@ -11,8 +11,8 @@
   | "version_stopped";
 
 /**
- * `id` is the reservation's, `grant` the number that redeems the grant, `lapse` the
- * milliseconds after which the grant expires.
+ * `id` is the reservation's, `grant` the number that redeems the grant, `lapse`
+ * the milliseconds after which the grant expires.
  */
 export type ReservationDecision =
   | { kind: "grant"; id: string; grant: number; lapse: number }
--- a/packages/decisions/src/granting/reservation_scheduler.ts
+++ b/packages/decisions/src/granting/reservation_scheduler.ts
@@ -1,13 +1,13 @@
 /**
- * Late binding of requests to backend servers: reservations wait at the sidecars,
- * each sidecar offers free capacity of its server as a grant, and the request
- * itself is sent only in response to a grant.
+ * Late binding of requests to backend servers: reservations wait at the
+ * sidecars, each sidecar offers free capacity of its server as a grant, and the
+ * request itself is sent only in response to a grant.
  *
  * Backend servers differ in speed, and load reports are seconds old. If entries
- * pushed requests to servers, a request would be sent to a server that only looks
- * idle, and wait there behind work that the engine admits in order of arrival. An
- * open grant occupies capacity, so it expires soon: an entry that has crashed or is
- * paused must not keep a server idle.
+ * pushed requests to servers, a request would be sent to a server that only
+ * looks idle, and wait there behind work that the engine admits in order of
+ * arrival. An open grant occupies capacity, so it expires soon: an entry that
+ * has crashed or is paused must not keep a server idle.
  * @module
  */
 import type { ConcurrencyLimit } from "../limits/mod.ts";
@@ -19,20 +19,20 @@
 } from "./reservation_decision.ts";
 
 /**
- * Milliseconds after which an unused grant expires and its capacity is offered to
- * another reservation. A round trip within a region takes about 2 ms, a pause of an
- * entry for garbage collection tens of milliseconds.
+ * Milliseconds after which an unused grant expires and its capacity is offered
+ * to another reservation. A round trip within a region takes about 2 ms, a
+ * pause of an entry for garbage collection tens of milliseconds.
  */
 export const GRANT_TIMEOUT = 250;
 
 /**
- * Milliseconds that a suspect (a request that may have crashed a server) waits for
- * the server to become idle before other requests are held back.
+ * Milliseconds that a suspect (a request that may have crashed a server) waits
+ * for the server to become idle before other requests are held back.
  */
 const SUSPECT_WAIT = 1000;
 /**
- * Maximum milliseconds for which other requests are held back for a suspect; longer
- * than most responses take.
+ * Maximum milliseconds for which other requests are held back for a suspect;
+ * longer than most responses take.
  */
 const MAXIMUM_HOLD_BACK = 30_000;
 
@@ -83,7 +83,7 @@
     return this.#queue.size;
   }
 
-  /** Lowest tier that would be queued now; `undefined` if all tiers would be. */
+  /** Lowest tier that would be queued now; `undefined` if all would be. */
   get lowestTierRank(): number | undefined {
     return this.#queue.lowestTierRank();
   }
@@ -113,7 +113,7 @@
     ];
   }
 
-  /** Removes a reservation or an open grant; has no effect on a running request. */
+  /** Removes a reservation or an open grant; running requests continue. */
   withdraw(id: string, now: number): ReservationDecision[] {
     if (this.#queue.withdraw(id)) {
       this.#removeWaitingSuspect(id);
@@ -126,8 +126,8 @@
 
   /**
    * Starts the request that arrived in response to a grant. If the grant has
-   * expired its number is unknown: the capacity was offered to another reservation,
-   * so the request must not run.
+   * expired its number is unknown: the capacity was offered to another
+   * reservation, so the request must not run.
    */
   redeem(id: string, grant: number): Redemption {
     const open = this.#openGrants.get(id);
@@ -162,7 +162,10 @@
     return this.#grantAll(now);
   }
 
-  /** Expires grants, and refuses reservations that can no longer meet their deadline. */
+  /**
+   * Expires grants, and refuses reservations that can no longer meet their
+   * deadline.
+   */
   tick(now: number): ReservationDecision[] {
     const decisions: ReservationDecision[] = [];
     for (const open of [...this.#openGrants.values()]) {
@@ -215,9 +218,9 @@
   }
 
   /**
-   * A suspect runs alone, so that a crash affects no other request. Under load a
-   * server never becomes idle by itself, so after a while other requests are held
-   * back until the suspect has run.
+   * A suspect runs alone, so that a crash affects no other request. Under load
+   * a server never becomes idle by itself, so after a while other requests are
+   * held back until the suspect has run.
    */
   #admits(reservation: WaitingReservation, now: number): boolean {
     if (this.#activeSuspect !== undefined) return false;
--- a/packages/decisions/src/quotas/organisation_quotas.ts
+++ b/packages/decisions/src/quotas/organisation_quotas.ts
@@ -1,15 +1,15 @@
 /**
  * Enforces the quotas of organisations at the entry that grants for a group.
  *
- * Without quotas, an organisation that sends many times its usual load would take
- * the capacity of all others. A quota applies to the whole fleet, also while entries
- * are disconnected from each other. Therefore each granting entry uses only its
- * group's fraction of it. The fractions add up to one at most, so that no agreement
- * is needed while the fleet is divided.
+ * Without quotas, an organisation that sends many times its usual load would
+ * take the capacity of all others. A quota applies to the whole fleet, also
+ * while entries are disconnected from each other. Therefore each granting entry
+ * uses only its group's fraction of it. The fractions add up to one at most, so
+ * that no agreement is needed while the fleet is divided.
  *
- * Of the amount that operators accept in a window, most is granted as a rate and
- * only little as a burst: an organisation that used all of it at once would be
- * refused for the rest of the window.
+ * Of the amount that operators accept in a window, most is granted as a rate
+ * and only little as a burst: an organisation that used all of it at once would
+ * be refused for the rest of the window.
  * @module
  */
 import { TokenBucket } from "./token_bucket.ts";
@@ -31,9 +31,9 @@
 /** Fraction of the granted amount that is the burst; the rest is the rate. */
 const BURST_FRACTION = 0.1;
 /**
- * Fraction of the burst that is available at once when the group's fraction of a
- * quota grows: the entry that had this fraction before may just have granted a
- * whole burst.
+ * Fraction of the burst that is available at once when the group's fraction of
+ * a quota grows: the entry that had this fraction before may just have granted
+ * a whole burst.
  */
 const TAKE_OVER_FRACTION = 0.1;
 
@@ -59,7 +59,9 @@
     this.#leeway = leeway;
   }
 
-  /** Sets the quotas, and the fraction of them, up to 1, that this group uses. */
+  /**
+   * Sets the quotas, and the fraction of them, up to 1, that this group uses.
+   */
   configure(
     quotas: ReadonlyMap<string, Quota>,
     fraction: number,
@@ -79,12 +81,18 @@
     return buckets?.bucket.allows(tokens, now) ?? true;
   }
 
-  /** Milliseconds until `tokens` can be charged; see {@link TokenBucket.waitFor}. */
+  /**
+   * Milliseconds until `tokens` can be charged; see {@link
+   * TokenBucket.waitFor}.
+   */
   waitFor(organisation: string, tokens: number, now: number): number {
     return this.#buckets.get(organisation)?.bucket.waitFor(tokens, now) ?? 0;
   }
 
-  /** Charges `tokens` to the organisation; returns false if they aren't available. */
+  /**
+   * Charges `tokens` to the organisation; returns false if they aren't
+   * available.
+   */
   charge(organisation: string, tokens: number, now: number): boolean {
     return this.#buckets.get(organisation)?.bucket.take(tokens, now) ?? true;
   }
--- a/packages/decisions/src/quotas/token_bucket.ts
+++ b/packages/decisions/src/quotas/token_bucket.ts
@@ -1,15 +1,17 @@
 /**
  * Token bucket that also admits amounts larger than its burst.
  *
- * In a plain token bucket an amount above the burst is never available. Here a full
- * bucket that is not used goes on saving tokens, for a single amount only. Taking it
- * leaves the bucket as far below zero as the amount exceeded the burst, so nothing
- * more is available for as long as was saved. Any window gets at most the burst and
- * the rate, whatever the amounts.
+ * In a plain token bucket an amount above the burst is never available. Here a
+ * full bucket that is not used goes on saving tokens, for a single amount only.
+ * Taking it leaves the bucket as far below zero as the amount exceeded the
+ * burst, so nothing more is available for as long as was saved. Any window gets
+ * at most the burst and the rate, whatever the amounts.
  * @module
  */
 
-/** Gains `ratePerSecond` tokens up to `burst`, and more while it is not used. */
+/**
+ * Gains `ratePerSecond` tokens up to `burst`, and more while it is not used.
+ */
 export class TokenBucket {
   #balance: number;
   #filledAt: number;
@@ -33,8 +35,8 @@
   }
 
   /**
-   * Changes the bounds; a balance above the new burst is lost. `maximumSaved` is
-   * the largest amount that can be taken, if it is above the burst.
+   * Changes the bounds; a balance above the new burst is lost. `maximumSaved`
+   * is the largest amount that can be taken, if it is above the burst.
    */
   configure(
     ratePerSecond: number,
@@ -59,14 +61,19 @@
     return this.#burst > 0 && this.#balance >= amount;
   }
 
-  /** Takes `amount`; returns false and takes nothing if the balance is too low. */
+  /**
+   * Takes `amount`; returns false and takes nothing if the balance is too low.
+   */
   take(amount: number, now: number): boolean {
     if (!this.allows(amount, now)) return false;
     this.#balance = Math.min(this.#balance, this.#burst) - amount;
     return true;
   }
 
-  /** Takes `amount`, or the whole balance if it is lower; returns what was taken. */
+  /**
+   * Takes `amount`, or the whole balance if it is lower; returns what was
+   * taken.
+   */
   takeUpTo(amount: number, now: number): number {
     this.#fill(now);
     const balance = Math.min(this.#balance, this.#burst);
@@ -75,15 +82,17 @@
     return taken;
   }
 
-  /** Returns tokens that were taken for work that did not run, up to the burst. */
+  /**
+   * Returns tokens that were taken for work that did not run, up to the burst.
+   */
   refund(amount: number): void {
     const balance = Math.min(this.#burst, this.#balance + amount);
     this.#balance = Math.max(this.#balance, balance);
   }
 
   /**
-   * Milliseconds until `amount` can be taken, if nothing else is taken before. 0 if
-   * the rate is zero, since the wait is unknown then.
+   * Milliseconds until `amount` can be taken, if nothing else is taken before.
+   * 0 if the rate is zero, since the wait is unknown then.
    */
   waitFor(amount: number, now: number): number {
     this.#fill(now);
--- a/packages/decisions/src/server_limits/parse_server_limit.ts
+++ b/packages/decisions/src/server_limits/parse_server_limit.ts
@@ -7,8 +7,8 @@
 const MAXIMUM_LOGGED_LENGTH = 64;
 
 /**
- * Returns the limit in requests per second, or `undefined` without a header. The
- * error is the value itself, if it is not a decimal number.
+ * Returns the limit in requests per second, or `undefined` without a header.
+ * The error is the value itself, if it is not a decimal number.
  */
 export function parseServerLimit(
   value: string | string[] | undefined,
--- a/packages/decisions/src/server_limits/server_limits.ts
+++ b/packages/decisions/src/server_limits/server_limits.ts
@@ -1,14 +1,16 @@
 /**
  * Rate limits that backend servers state for all entries together.
  *
- * Each entry observes only the responses to its own requests, and its observations
- * reach other entries late and out of order. Of two observations of a server the
- * newer one counts. The end of a limit is remembered too, because otherwise an older
- * observation would reinstate the limit.
+ * Each entry observes only the responses to its own requests, and its
+ * observations reach other entries late and out of order. Of two observations
+ * of a server the newer one counts. The end of a limit is remembered too,
+ * because otherwise an older observation would reinstate the limit.
  * @module
  */
 
-/** Maximum number of servers; the one with the oldest observation is evicted. */
+/**
+ * Maximum number of servers; the one with the oldest observation is evicted.
+ */
 const MAXIMUM_SERVERS = 4096;
 
 /** What a response of a server stated about its limit. */
@@ -18,9 +20,9 @@
   /** The entry that received the response. */
   by: string;
   /**
-   * Time in milliseconds at which the limit was received. If the response stated no
-   * limit, the time at which its request was sent: the response may have been on its
-   * way already when others stated a limit.
+   * Time in milliseconds at which the limit was received. If the response
+   * stated no limit, the time at which its request was sent: the response may
+   * have been on its way already when others stated a limit.
    */
   observedAt: number;
 };
--- a/packages/decisions/src/server_limits/server_rate_limiter.ts
+++ b/packages/decisions/src/server_limits/server_rate_limiter.ts
@@ -1,9 +1,10 @@
 /**
- * Limits the rate of requests to one server by the limit that the server states.
+ * Limits the rate of requests to one server by the limit that the server
+ * states.
  *
- * It starts without tokens, since another entry that granted before may just have
- * used up the limit. The burst is a tenth of a second, but at least one token, so
- * that in any period the server gets little more than its limit.
+ * It starts without tokens, since another entry that granted before may just
+ * have used up the limit. The burst is a tenth of a second, but at least one
+ * token, so that in any period the server gets little more than its limit.
  * @module
  */
 import { TokenBucket } from "../quotas/mod.ts";
@@ -11,8 +12,8 @@
 /** Burst, in seconds of the limit. */
 const BURST_SECONDS = 0.1;
 /**
- * Minimum requests per second, also under a lower limit: only a response can show
- * that the limit has ended.
+ * Minimum requests per second, also under a lower limit: only a response can
+ * show that the limit has ended.
  */
 const MINIMUM_RATE = 0.2;
 
--- a/packages/decisions/test/burst_test.ts
+++ b/packages/decisions/test/burst_test.ts
@@ -4,9 +4,10 @@
 import { serverRecord } from "./server_record.ts";
 
 /*
- * Six engines with two slots each. For four seconds requests arrive at twice their
- * capacity, with log-normal lengths: a median of 160 tokens, one in ten over 800. Of
- * 400 requests 136 are on time in order of arrival, and 216 by expected time.
+ * Six engines with two slots each. For four seconds requests arrive at twice
+ * their capacity, with log-normal lengths: a median of 160 tokens, one in ten
+ * over 800. Of 400 requests 136 are on time in order of arrival, and 216 by
+ * expected time.
  */
 
 const SERVERS = 6;
--- a/packages/decisions/test/estimates_test.ts
+++ b/packages/decisions/test/estimates_test.ts
@@ -9,7 +9,7 @@
 };
 const IDENTIFICATION = { ...QUOTE, promptBytes: 800 };
 
-// Estimated by the route's mean, an identification would wait as long as a quote.
+// By the route's mean, an identification would wait as long as a quote.
 t.test("large and small requests of one route are distinguished", (t) => {
   const estimator = new CostEstimator();
   t.same(estimator.estimate(IDENTIFICATION), {
--- a/packages/decisions/test/fleet_simulation.ts
+++ b/packages/decisions/test/fleet_simulation.ts
@@ -1,8 +1,8 @@
 /**
- * Simulates callers, one group scheduler and engines in virtual time, and counts the
- * results of requests. Like real batching engines, the engines interleave prefill
- * with the decoding of all their requests. Refused callers retry once, after the
- * delay they were given.
+ * Simulates callers, one group scheduler and engines in virtual time, and
+ * counts the results of requests. Like real batching engines, the engines
+ * interleave prefill with the decoding of all their requests. Refused callers
+ * retry once, after the delay they were given.
  * @module
  */
 import { uniformInt } from "pure-rand/distribution/uniformInt";
@@ -34,11 +34,15 @@
   organisation: string;
   /** Requests per second at `now`. */
   rate: (now: number) => number;
-  /** Milliseconds until the response must start, a grant expires, all must end. */
+  /**
+   * Milliseconds until the response must start, a grant expires, all must end.
+   */
   latencyGoal: number;
   maximumWait: number;
   deadline: number;
-  /** Log-normal sizes in tokens: medians, and the deviation of the logarithms. */
+  /**
+   * Log-normal sizes in tokens: medians, and the deviation of the logarithms.
+   */
   prompt: number;
   output: number;
   spread: number;
--- a/packages/decisions/test/grant_requests.ts
+++ b/packages/decisions/test/grant_requests.ts
@@ -39,8 +39,8 @@
 }
 
 /**
- * Submits `requests` at 0 and serves them one at a time, 10 ms each, after `running`
- * has ended. Returns their ids in the order of the grants.
+ * Submits `requests` at 0 and serves them one at a time, 10 ms each, after
+ * `running` has ended. Returns their ids in the order of the grants.
  */
 export function grantOrder(
   scheduler: ServiceScheduler,
--- a/packages/decisions/test/group_fractions_test.ts
+++ b/packages/decisions/test/group_fractions_test.ts
@@ -12,8 +12,8 @@
 }
 
 /**
- * Returns the fractions that the entry `name` uses, if it is connected to `peers`
- * and each entry sends its grant requests to its `grantingEntryOf`.
+ * Returns the fractions that the entry `name` uses, if it is connected to
+ * `peers` and each entry sends its grant requests to its `grantingEntryOf`.
  */
 function fractionsOf(
   name: string,
@@ -54,7 +54,7 @@
 });
 
 t.test("an entry connected to two groups counts in one of them", (t) => {
-  // Two groups together used 1.6 of every quota, as three entries counted in both.
+  // Three entries counted in two groups, which together used 1.6 of a quota.
   const members = membersOf(NAMES);
   const grantingEntryOf = (entry: string) => entry === "e" ? "e" : "a";
   const one = fractionsOf("a", {
@@ -93,7 +93,7 @@
 });
 
 t.test("the larger total of shares counts, a peer's or the entry's own", (t) => {
-  // An entry that has just started does not know entries that are not registered.
+  // An entry that has just started does not know unregistered entries.
   const present = [{ name: "d", listed: true, asksThisEntry: true }];
   const shares = membersOf(["d"]).shares(0);
   t.equal(groupFractions({ present, shares, stated: 5 }).quota, 0.2);
--- a/packages/decisions/test/maximum_in_window.ts
+++ b/packages/decisions/test/maximum_in_window.ts
@@ -1,7 +1,9 @@
 /** Tokens that were granted at a time in milliseconds. */
 export type Grant = { at: number; charge: number };
 
-/** Returns the maximum of tokens granted in any window of `window` milliseconds. */
+/**
+ * Returns the maximum of tokens granted in any window of `window` milliseconds.
+ */
 export function maximumInWindow(
   grants: readonly Grant[],
   window: number,
--- a/packages/decisions/test/organisation_quotas_test.ts
+++ b/packages/decisions/test/organisation_quotas_test.ts
@@ -35,7 +35,7 @@
 );
 
 t.test("two groups together stay within the accepted amount in any window", (t) => {
-  // With the whole quota in each half of a divided fleet, twice as much is granted.
+  // Each half of a divided fleet would grant the whole quota.
   fc.assert(
     fc.property(arrivals, (arrivals) => {
       const halves = [2, 3].map((size) => {
--- a/packages/decisions/test/quota_reservations_test.ts
+++ b/packages/decisions/test/quota_reservations_test.ts
@@ -25,7 +25,10 @@
   return scheduler;
 }
 
-/** Creates a scheduler with a balance of 249 tokens at 0 that gains 1,111 per second. */
+/**
+ * Creates a scheduler with a balance of 249 tokens at 0 that gains 1,111 per
+ * second.
+ */
 function schedulerWithLowBalance(): GroupScheduler {
   const scheduler = schedulerWithFraction(1, -10_000);
   const before = grantRequest({ charge: 850, arrived: -100 });
--- a/packages/decisions/test/reservation_scheduler_test.ts
+++ b/packages/decisions/test/reservation_scheduler_test.ts
@@ -24,7 +24,7 @@
 });
 
 t.test("an expired grant cannot be redeemed", (t) => {
-  // A paused entry would exceed the limit, or run a request that runs elsewhere.
+  // The request of a paused entry would exceed the limit, or run twice.
   const scheduler = createScheduler(1);
   const [grant] = scheduler.reserve(waitingReservation("a"), 0);
   scheduler.reserve(waitingReservation("b"), 0);
@@ -70,7 +70,7 @@
 });
 
 t.test("other requests are held back only while a suspect waits", (t) => {
-  // A busy server never becomes idle by itself, so a suspect would wait for ever.
+  // A busy server never becomes idle by itself; the suspect would wait for ever.
   const scheduler = createScheduler(4);
   const [first] = scheduler.reserve(waitingReservation("a"), 0);
   scheduler.redeem("a", first?.kind === "grant" ? first.grant : -1);
--- a/packages/decisions/test/server_limits_test.ts
+++ b/packages/decisions/test/server_limits_test.ts
@@ -54,8 +54,8 @@
 const DECISION_INTERVAL = 10;
 
 /**
- * Sends as often as allowed, and returns the times. At each of `takeOvers` another
- * entry starts to grant.
+ * Sends as often as allowed, and returns the times. At each of `takeOvers`
+ * another entry starts to grant.
  */
 function sendTimes(perSecond: number, takeOvers: readonly number[]): number[] {
   const sent: number[] = [];
--- a/packages/decisions/test/service_order_test.ts
+++ b/packages/decisions/test/service_order_test.ts
@@ -4,7 +4,7 @@
 import { serverRecord as server } from "./server_record.ts";
 
 t.test("a larger response can be served before a smaller one", (t) => {
-  // By time alone, a response 15 times the usual size, worth four, was never served.
+  // By time alone, responses 15 times the usual size, worth 4, were never served.
   const scheduler = new ServiceScheduler();
   scheduler.setServers([server("x", { slots: 1 })]);
   for (let count = 0; count < 200; count++) {
@@ -31,7 +31,7 @@
 });
 
 t.test("a request that can still be timely is not refused in a burst", (t) => {
-  // At twice the capacity for 2 s, refusals ignored slots that became free in time.
+  // At twice the capacity for 2 s, slots that became free in time were ignored.
   const scheduler = new ServiceScheduler();
   scheduler.setServers([server("x", { slots: 2 })]);
   let refused = 0;
@@ -55,7 +55,7 @@
 });
 
 t.test("no request is refused for overload while a slot is free", (t) => {
-  // High latencies after a restart caused 26 refusals with 22 of 132 slots free.
+  // Slow responses after a restart led to 26 refusals with 22 of 132 slots free.
   const scheduler = new ServiceScheduler();
   scheduler.setServers([server("x", { slots: 4 })]);
   const cost = { promptTokens: 60_000, outputTokens: 4000 };
--- a/packages/decisions/test/service_scheduler_test.ts
+++ b/packages/decisions/test/service_scheduler_test.ts
@@ -71,7 +71,7 @@
 });
 
 t.test("a server whose address another server has taken over is sent no requests", (t) => {
-  // Quick rejections made it look idle and fast, and used up the service's retries.
+  // Quick rejections made it look fast, and used up the service's retries.
   const scheduler = new ServiceScheduler();
   scheduler.setServers([server("x", { slots: 8 }), server("y", { slots: 8 })]);
   const first = grantRequest();
--- a/packages/decisions/test/simulated_engine.ts
+++ b/packages/decisions/test/simulated_engine.ts
@@ -1,6 +1,6 @@
 /**
- * Simulates an engine with continuous batching in virtual time, behind a queue and a
- * concurrency limit.
+ * Simulates an engine with continuous batching in virtual time, behind a queue
+ * and a concurrency limit.
  * @module
  */
 import type { ConcurrencyLimit, Cost, WaitingQueue } from "../src/mod.ts";
@@ -21,7 +21,10 @@
   arrived: number;
 };
 
-/** What the engine runs at once; more requests wait inside it in order of arrival. */
+/**
+ * What the engine runs at once; more requests wait inside it in order of
+ * arrival.
+ */
 export type EngineLimits = { sequences?: number; tokens?: number };
 
 /** Times of a response in milliseconds since the request arrived. */
@@ -31,7 +34,10 @@
   finished?: number;
 };
 
-/** Takes requests from the queue as the limit allows, and runs them step by step. */
+/**
+ * Takes requests from the queue as the limit allows, and runs them step by
+ * step.
+ */
 export class SimulatedEngine {
   readonly answers = new Map<string, SimulatedResponse>();
   now = 0;
--- a/packages/decisions/test/size_fairness_test.ts
+++ b/packages/decisions/test/size_fairness_test.ts
@@ -12,7 +12,9 @@
   return { promptTokens: 100, outputTokens };
 }
 
-/** Records requests of 1 to 100 tokens; grants those of up to `granted` tokens. */
+/**
+ * Records requests of 1 to 100 tokens; grants those of up to `granted` tokens.
+ */
 function recordAll(fairness: SizeFairness, granted: number): void {
   for (let tokens = 1; tokens <= 100; tokens++) {
     const requestClass = fairness.recordRequest(
