--- a/packages/decisions/src/dispatch/group_scheduler.ts
+++ b/packages/decisions/src/dispatch/group_scheduler.ts
@@ -26,9 +26,9 @@
 ]);
 
 /**
- * Minimum retry delay in milliseconds after a refusal for the quota; jitter up
- * to doubles it. Other requests of the organisation compete for the next tokens
- * too, and a caller has one retry.
+ * Minimum retry delay in milliseconds after a refusal for the quota; jitter at
+ * most doubles it. Other requests of the organisation compete for the next
+ * tokens too, and a caller has one retry.
  */
 const MINIMUM_QUOTA_RETRY_DELAY = 1000;
 
@@ -44,8 +44,8 @@
 };
 
 /**
- * Grants requests for a group of entries; decisions are made by {@link
- * GroupScheduler.decide}.
+ * Grants requests for a group of entries; {@link GroupScheduler.decide} makes
+ * the decisions.
  */
 export class GroupScheduler {
   readonly #services = new Map<string, ServiceScheduler>();
@@ -61,9 +61,7 @@
     this.#quotas = new OrganisationQuotas(leeway);
   }
 
-  /**
-   * Replaces the set of servers, of all services, that may be sent requests.
-   */
+  /** Replaces the servers, of all services, that may be sent requests. */
   setServers(records: readonly ServerRecord[]): void {
     const byService = new Map<string, ServerRecord[]>();
     for (const record of records) {
@@ -84,10 +82,7 @@
     this.#quotas.setLeeway(leeway);
   }
 
-  /**
-   * Sets the quotas, and the fractions of the fleet's capacity and quotas to
-   * use.
-   */
+  /** Sets the quotas, and the group's fractions of capacity and quotas. */
   setQuotas(
     quotas: ReadonlyMap<string, Quota>,
     fractions: GroupFractions,
@@ -100,10 +95,7 @@
     }
   }
 
-  /**
-   * Queues a request, or refuses it at once. Ignores a request that it has
-   * already.
-   */
+  /** Queues a request, or refuses it at once; ignores one that is known. */
   submit(request: GrantRequest, now: number): GrantDecision | undefined {
     if (this.#requests.has(request.id)) return undefined;
     const wait = this.#quotas.waitFor(
@@ -122,19 +114,14 @@
     return decision;
   }
 
-  /**
-   * Removes a request that does not run: it stopped waiting, or its grant is
-   * unused.
-   */
+  /** Removes a request that stopped waiting or did not use its grant. */
   withdraw(request: GrantRequest): void {
     if (this.#remove(request)) {
       this.#quotas.refund(request.organisation, request.charge);
     }
   }
 
-  /**
-   * Removes a request that another entry counts from now on; it stays charged.
-   */
+  /** Removes a request that another entry now counts; it stays charged. */
   release(request: GrantRequest): void {
     this.#remove(request);
   }
--- a/packages/decisions/src/dispatch/service_scheduler.ts
+++ b/packages/decisions/src/dispatch/service_scheduler.ts
@@ -45,8 +45,8 @@
 const MAXIMUM_PASSED_OVER = 40;
 
 /**
- * Grants the servers of one service; decisions are made by {@link
- * ServiceScheduler.decide}.
+ * Grants the servers of one service; {@link ServiceScheduler.decide} makes the
+ * decisions.
  */
 export class ServiceScheduler {
   readonly #pool: ServerPool;
@@ -186,9 +186,8 @@
   }
 
   /**
-   * Grants waiting requests in one pass over the queue. A second pass would
-   * grant nothing more, as free slots and quotas only decrease during the
-   * first.
+   * Grants waiting requests in one pass over the queue, which is enough: free
+   * slots and quotas only decrease during it.
    */
   #grantWaiting(decisions: GrantDecision[], now: number): void {
     const snapshot = this.#pool.snapshot(now);
--- a/packages/decisions/src/dispatch/size_fairness.ts
+++ b/packages/decisions/src/dispatch/size_fairness.ts
@@ -111,10 +111,7 @@
   }
 }
 
-/**
- * The class that a request is counted in; see {@link
- * SizeFairness.recordRequest}.
- */
+/** The class that {@link SizeFairness.recordRequest} counts a request in. */
 export type RequestClass = { priorityClass: string; sizeClass: SizeClass };
 
 /** Tracks served fractions by priority class and size class. */
--- a/packages/decisions/src/quotas/organisation_quotas.ts
+++ b/packages/decisions/src/quotas/organisation_quotas.ts
@@ -81,10 +81,7 @@
     return buckets?.bucket.allows(tokens, now) ?? true;
   }
 
-  /**
-   * Milliseconds until `tokens` can be charged; see {@link
-   * TokenBucket.waitFor}.
-   */
+  /** See {@link TokenBucket.waitFor}; 0 without a quota. */
   waitFor(organisation: string, tokens: number, now: number): number {
     return this.#buckets.get(organisation)?.bucket.waitFor(tokens, now) ?? 0;
   }
--- a/packages/decisions/test/fleet_simulation.ts
+++ b/packages/decisions/test/fleet_simulation.ts
@@ -34,17 +34,16 @@
   organisation: string;
   /** Requests per second at `now`. */
   rate: (now: number) => number;
-  /**
-   * Milliseconds until the response must start, a grant expires, all must end.
-   */
+  /** Milliseconds until the response has to start. */
   latencyGoal: number;
+  /** Milliseconds until a grant expires. */
   maximumWait: number;
+  /** Milliseconds until the response has to be complete. */
   deadline: number;
-  /**
-   * Log-normal sizes in tokens: medians, and the deviation of the logarithms.
-   */
+  /** Medians of log-normal sizes, in tokens. */
   prompt: number;
   output: number;
+  /** Standard deviation of the logarithms of both sizes. */
   spread: number;
 };
 
--- a/packages/decisions/test/server_limits_test.ts
+++ b/packages/decisions/test/server_limits_test.ts
@@ -73,8 +73,9 @@
   return sent;
 }
 
-/** Accepted in a window of 4 s: half more than the limit, and five requests. */
+/** A window of 4 s, in milliseconds. */
 const WINDOW = 4000;
+/** Accepted in a window: half more than the limit, and five requests. */
 function acceptedRequests(perSecond: number): number {
   return perSecond * WINDOW / 1000 * 1.5 + 5;
 }
--- a/packages/decisions/test/simulated_engine.ts
+++ b/packages/decisions/test/simulated_engine.ts
@@ -21,10 +21,7 @@
   arrived: number;
 };
 
-/**
- * What the engine runs at once; more requests wait inside it in order of
- * arrival.
- */
+/** What the engine runs at once; more requests wait in order of arrival. */
 export type EngineLimits = { sequences?: number; tokens?: number };
 
 /** Times of a response in milliseconds since the request arrived. */
@@ -34,10 +31,7 @@
   finished?: number;
 };
 
-/**
- * Takes requests from the queue as the limit allows, and runs them step by
- * step.
- */
+/** Takes requests as the limit allows, and runs them step by step. */
 export class SimulatedEngine {
   readonly answers = new Map<string, SimulatedResponse>();
   now = 0;
@@ -47,7 +41,7 @@
   steps = 0;
   readonly #queue: WaitingQueue;
   readonly #limit: ConcurrencyLimit;
-  readonly #limits: EngineLimits;
+  readonly #engineLimits: EngineLimits;
   readonly #running = new Set<Sequence>();
 
   constructor(
@@ -57,7 +51,7 @@
   ) {
     this.#queue = queue;
     this.#limit = limit;
-    this.#limits = limits;
+    this.#engineLimits = limits;
   }
 
   /** Runs until `end`; `arrive` is called before each step. */
@@ -91,7 +85,7 @@
   }
 
   #batch(): Sequence[] {
-    const { sequences = Infinity, tokens = Infinity } = this.#limits;
+    const { sequences = Infinity, tokens = Infinity } = this.#engineLimits;
     const batch: Sequence[] = [];
     let batchTokens = 0;
     for (const sequence of this.#running) {
