--- a/packages/decisions/src/dispatch/mod.ts
+++ b/packages/decisions/src/dispatch/mod.ts
@@ -1,4 +1,4 @@
-/** Which backend server a request is sent to, and when. @module */
+/** Decides which backend server a request is sent to, and when. @module */
 export type {
   GrantDecision,
   GrantRefusalReason,
@@ -8,5 +8,5 @@
 } from "./grant_request.ts";
 export { GroupScheduler } from "./group_scheduler.ts";
 export type { ServiceLoad } from "./group_scheduler.ts";
-export type { StreamTiming } from "./server_room.ts";
+export type { StreamTiming } from "./pooled_server.ts";
 export { ServiceScheduler } from "./service_scheduler.ts";
--- /dev/null
+++ b/packages/decisions/src/dispatch/pooled_server.ts
@@ -0,0 +1,319 @@
+/**
+ * One backend server as its granting entry knows it: what it runs for the
+ * group, how fast it is, and whether it can take another request.
+ * @module
+ */
+import type { ServerRecord } from "../discovery/mod.ts";
+import type { GroupFractions } from "../fleet/mod.ts";
+import type { Cost } from "../queueing/mod.ts";
+import { allowedRate, ServerRateLimiter } from "../server_limits/mod.ts";
+import type { ServerLimit } from "../server_limits/mod.ts";
+import type { GrantRequest } from "./grant_request.ts";
+import {
+  LatencyRatio,
+  nominalDecodeTime,
+  nominalFirstTokenTime,
+} from "./latency_ratio.ts";
+import { PrefillLimit } from "./prefill_limit.ts";
+
+/**
+ * Milliseconds of prefill that may be pending at a server at a time. Prefill is
+ * interleaved with the decoding of other requests; with more of it, the pauses
+ * in their responses exceed the 250 ms that callers accept.
+ */
+const MAXIMUM_PENDING_PREFILL = 400;
+/** Fraction of the time left that a response may be expected to take. */
+const MAXIMUM_RUN_FRACTION = 0.6;
+/** Milliseconds without new requests after a failed connection attempt. */
+const FIRST_BACKOFF = 250;
+/** The backoff doubles with each failure, up to this many milliseconds. */
+const MAXIMUM_BACKOFF = 2000;
+
+/**
+ * Factor of the service's latency that is assumed for a server without
+ * observations. It is a little below 1, so that every server is tried, and so
+ * that one slow start does not keep a server from being selected.
+ */
+const UNKNOWN_SERVER_RATIO = 0.8;
+
+/**
+ * Latency ratios of a whole service, the default for servers without
+ * observations.
+ */
+export type ServiceLatencyRatios = { firstToken: number; decode: number };
+
+/** Timing of a response after its first token. */
+export type StreamTiming = {
+  /** Tokens after the first one. */
+  tokens: number;
+  /** Milliseconds that these tokens took. */
+  measured: number;
+  /** Longest pause between two events, as a fraction of the accepted pause. */
+  pausePart: number;
+};
+
+type Run = {
+  entry: string;
+  cost: Cost;
+  /** Its prompt counts as pending prefill, as the response has not started. */
+  inPrefill: boolean;
+  /** Maximum prompt tokens of pending prefill at the server during the run. */
+  maximumPendingPrefill: number;
+};
+
+/** What the group may use of a server; see {@link GroupFractions}. */
+export type UsageBounds = {
+  fractions: GroupFractions;
+  /** The rate limit for all entries together, if the server states one. */
+  limit: ServerLimit | undefined;
+};
+
+/** State of one backend server, with its runs by request id. */
+export class PooledServer {
+  record: ServerRecord;
+  readonly #firstTokenRatio = new LatencyRatio();
+  readonly #decodeRatio = new LatencyRatio();
+  readonly #prefillLimit = new PrefillLimit();
+  readonly #runs = new Map<string, Run>();
+  #rateLimiter: ServerRateLimiter | undefined;
+  #pendingPrefillTokens = 0;
+  #downUntil = -Infinity;
+  #backoff = 0;
+  /** Entries that failed to connect, and until when they are not sent here. */
+  readonly #unreachableFrom = new Map<string, number>();
+
+  constructor(record: ServerRecord) {
+    this.record = record;
+  }
+
+  get running(): number {
+    return this.#runs.size;
+  }
+
+  /** Maximum of pending prefill, in prompt tokens. */
+  get prefillLimit(): number {
+    return this.#prefillLimit.tokens;
+  }
+
+  /** True if the server can run another request. */
+  hasFreeSlot(bounds: UsageBounds, now: number): boolean {
+    if (!this.#rateAllows(bounds, now)) return false;
+    return this.#runs.size < this.#maximumRuns(bounds.fractions.room);
+  }
+
+  /**
+   * Slots that the group can use. They are fewer than its fraction of the
+   * server's slots if the rate limit lets fewer requests start within
+   * `runTime`, the mean time of a request in milliseconds.
+   */
+  usableSlots(
+    { fractions, limit }: UsageBounds,
+    runTime: number,
+  ): number {
+    const slots = this.record.slots * fractions.room;
+    if (limit === undefined) return slots;
+    const started = allowedRate(limit.perSecond, fractions.quota) * runTime /
+      1000;
+    return Math.min(slots, started);
+  }
+
+  /**
+   * True if the request may be sent to this server. `largestPrefillLimit` is
+   * the largest of all servers of the service.
+   */
+  admits(
+    request: GrantRequest,
+    snapshot: {
+      latencyRatios: ServiceLatencyRatios;
+      largestPrefillLimit: number;
+    },
+    now: number,
+  ): boolean {
+    const { latencyRatios, largestPrefillLimit } = snapshot;
+    if (!this.#isReachableFrom(request.entry, now)) return false;
+    const { cost } = request;
+    if (cost.promptTokens === 0) return true;
+    if (!this.#admitsPrefill(cost.promptTokens, largestPrefillLimit)) {
+      return false;
+    }
+    const decodeTime = this.#decodeRatio.value(now, latencyRatios.decode) *
+      nominalDecodeTime(cost);
+    const isSlow = this.#decodeRatio.value(now, latencyRatios.decode) >
+      latencyRatios.decode;
+    if (
+      isSlow && decodeTime > MAXIMUM_RUN_FRACTION * (request.deadline - now)
+    ) return false;
+    if (this.#pendingPrefillTokens === 0) return true;
+    const prefillTime =
+      nominalFirstTokenTime(cost, this.#pendingPrefillTokens) -
+      nominalFirstTokenTime({ promptTokens: 1, outputTokens: 0 });
+    return this.#firstTokenRatio.value(now, latencyRatios.firstToken) *
+        prefillTime < MAXIMUM_PENDING_PREFILL;
+  }
+
+  /** Expected milliseconds to the first token. */
+  expectedFirstTokenTime(
+    cost: Cost,
+    latencyRatios: ServiceLatencyRatios,
+    now: number,
+  ): number {
+    const isKnown = this.#firstTokenRatio.isKnown;
+    const ratio = this.#firstTokenRatio.value(now, latencyRatios.firstToken) *
+      (isKnown ? 1 : UNKNOWN_SERVER_RATIO);
+    const utilisation = this.#runs.size / Math.max(1, this.record.slots);
+    return ratio * nominalFirstTokenTime(cost, this.#pendingPrefillTokens) *
+      (1 + utilisation);
+  }
+
+  /** Expected milliseconds from the first token to the last. */
+  expectedDecodeTime(
+    cost: Cost,
+    latencyRatios: ServiceLatencyRatios,
+    now: number,
+  ): number {
+    return this.#decodeRatio.value(now, latencyRatios.decode) *
+      nominalDecodeTime(cost);
+  }
+
+  recordStart(request: GrantRequest): void {
+    const { entry, cost } = request;
+    const inPrefill = cost.promptTokens > 0;
+    if (inPrefill) this.#pendingPrefillTokens += cost.promptTokens;
+    this.#runs.set(request.id, {
+      entry,
+      cost,
+      inPrefill,
+      maximumPendingPrefill: 0,
+    });
+    for (const run of this.#runs.values()) {
+      run.maximumPendingPrefill = Math.max(
+        run.maximumPendingPrefill,
+        this.#pendingPrefillTokens,
+      );
+    }
+  }
+
+  /** Counts a request, granted here, against the server's rate limit. */
+  countAgainstLimit(now: number): void {
+    this.#rateLimiter?.take(now);
+  }
+
+  /** Takes back the count of a request that did not reach the server. */
+  refundLimit(): void {
+    this.#rateLimiter?.refund();
+  }
+
+  /**
+   * Records that the response started `latency` milliseconds after sending.
+   * Returns the cost of the request, if its run is known.
+   */
+  recordResponseStart(
+    id: string,
+    latency: number,
+    now: number,
+  ): Cost | undefined {
+    const run = this.#runs.get(id);
+    this.#backoff = 0;
+    if (run === undefined) return undefined;
+    this.#endPrefill(run);
+    this.#firstTokenRatio.observe(
+      latency,
+      nominalFirstTokenTime(run.cost),
+      now,
+    );
+    return run.cost;
+  }
+
+  /** Records how fast a response came after its first token. */
+  recordStreamTiming(id: string, timing: StreamTiming, now: number): void {
+    const { tokens, measured, pausePart } = timing;
+    const cost = { promptTokens: 1, outputTokens: tokens };
+    this.#decodeRatio.observe(measured, nominalDecodeTime(cost), now);
+    const run = this.#runs.get(id);
+    if (run !== undefined) {
+      this.#prefillLimit.observe(pausePart, run.maximumPendingPrefill, now);
+    }
+  }
+
+  removeRun(id: string): boolean {
+    const run = this.#runs.get(id);
+    if (run === undefined) return false;
+    this.#endPrefill(run);
+    return this.#runs.delete(id);
+  }
+
+  /**
+   * Removes the runs of an entry, whose connections to the server have ended.
+   */
+  removeEntry(entry: string): void {
+    for (const [id, run] of this.#runs) {
+      if (run.entry === entry) this.removeRun(id);
+    }
+  }
+
+  /**
+   * Stops sending requests for the backoff time, because nothing listens at the
+   * address or another server does. Otherwise a crashed server would look idle
+   * and attract all requests.
+   */
+  markDown(now: number): void {
+    this.#backoff = this.#backoff === 0
+      ? FIRST_BACKOFF
+      : Math.min(MAXIMUM_BACKOFF, this.#backoff * 2);
+    this.#downUntil = now + this.#backoff;
+  }
+
+  /**
+   * Records that a connection attempt of an entry timed out: either the path
+   * from that entry is broken, or the server is. The server counts as down if
+   * several entries fail to reach it.
+   */
+  markUnreachableFrom(entry: string, now: number): void {
+    for (const [other, until] of this.#unreachableFrom) {
+      if (until <= now) this.#unreachableFrom.delete(other);
+    }
+    this.#unreachableFrom.set(entry, now + MAXIMUM_BACKOFF);
+    if (this.#unreachableFrom.size > 1) this.markDown(now);
+  }
+
+  #rateAllows({ fractions, limit }: UsageBounds, now: number): boolean {
+    if (limit === undefined) {
+      this.#rateLimiter = undefined;
+      return true;
+    }
+    this.#rateLimiter ??= new ServerRateLimiter(now);
+    this.#rateLimiter.configure(limit.perSecond, fractions.quota, now);
+    return this.#rateLimiter.allows(now);
+  }
+
+  /**
+   * A prompt that is larger than every server's limit is admitted by a server
+   * with the largest limit, while no other prefill is pending there.
+   */
+  #admitsPrefill(tokens: number, largestPrefillLimit: number): boolean {
+    if (this.#pendingPrefillTokens + tokens <= this.#prefillLimit.tokens) {
+      return true;
+    }
+    return this.#pendingPrefillTokens === 0 &&
+      this.#prefillLimit.tokens >= largestPrefillLimit;
+  }
+
+  #isReachableFrom(entry: string, now: number): boolean {
+    if (now < this.#downUntil) return false;
+    return now >= (this.#unreachableFrom.get(entry) ?? -Infinity);
+  }
+
+  /**
+   * After a failed connection attempt a server is sent a single request first:
+   * it may refuse again, and each refusal costs its caller a round trip.
+   */
+  #maximumRuns(fraction: number): number {
+    return this.#backoff > 0 ? 1 : this.record.slots * fraction;
+  }
+
+  #endPrefill(run: Run): void {
+    if (!run.inPrefill) return;
+    run.inPrefill = false;
+    this.#pendingPrefillTokens -= run.cost.promptTokens;
+  }
+}
--- /dev/null
+++ b/packages/decisions/src/dispatch/server_pool.ts
@@ -0,0 +1,286 @@
+/**
+ * The backend servers of one service: what each one runs, how fast it is,
+ * whether it is ejected, and which one a request is sent to.
+ * @module
+ */
+import { incarnationOf } from "../discovery/mod.ts";
+import type { ServerRecord } from "../discovery/mod.ts";
+import { OutlierEjection } from "../ejection/mod.ts";
+import type { GroupFractions } from "../fleet/mod.ts";
+import { ServerLimits } from "../server_limits/mod.ts";
+import type { GrantRequest, RunOutcome } from "./grant_request.ts";
+import {
+  LatencyRatio,
+  nominalDecodeTime,
+  nominalFirstTokenTime,
+} from "./latency_ratio.ts";
+import { PooledServer } from "./pooled_server.ts";
+import type {
+  ServiceLatencyRatios,
+  StreamTiming,
+  UsageBounds,
+} from "./pooled_server.ts";
+
+/**
+ * Milliseconds by which a server in another data centre must be faster to be
+ * preferred, since traffic between data centres is charged.
+ */
+const REMOTE_PENALTY = 60;
+/**
+ * Weight of the expected decode time in the selection of a server: a slot of a
+ * fast server is free again sooner.
+ */
+const DECODE_WEIGHT = 0.1;
+
+/** Input to the selection of servers, computed once per pass over the queue. */
+export type PoolSnapshot = {
+  latencyRatios: ServiceLatencyRatios;
+  /** Largest prefill limit of the servers, in tokens. */
+  largestPrefillLimit: number;
+  /** Servers with a free slot; under load these are few of many. */
+  free: Map<string, PooledServer>;
+};
+
+/** A granted request and its server. */
+export type GrantedRequest = { request: GrantRequest; server: string };
+
+/** The servers of one service, by incarnation. */
+export class ServerPool {
+  readonly #servers = new Map<string, PooledServer>();
+  readonly #ejection = new OutlierEjection();
+  readonly #firstTokenRatio = new LatencyRatio();
+  readonly #decodeRatio = new LatencyRatio();
+  readonly #limits: ServerLimits;
+  #fractions: GroupFractions = { room: 1, quota: 1 };
+
+  /** `limits` holds the rates that servers accept; no limits if absent. */
+  constructor(limits = new ServerLimits()) {
+    this.#limits = limits;
+  }
+
+  get size(): number {
+    return this.#servers.size;
+  }
+
+  /** Slots of all servers together. */
+  get slots(): number {
+    let slots = 0;
+    for (const server of this.#servers.values()) slots += server.record.slots;
+    return slots;
+  }
+
+  /** Free slots, including those of servers that may be unreachable. */
+  get freeSlots(): number {
+    let running = 0;
+    for (const server of this.#servers.values()) running += server.running;
+    return Math.max(0, this.slots - running);
+  }
+
+  /**
+   * Slots that this group of entries can use. `runTime` is the mean time of a
+   * request in milliseconds.
+   */
+  usableSlots(runTime: number): number {
+    let slots = 0;
+    for (const [name, server] of this.#servers) {
+      slots += server.usableSlots(this.#bounds(name), runTime);
+    }
+    return slots;
+  }
+
+  has(server: string): boolean {
+    return this.#servers.has(server);
+  }
+
+  /** True if any server can run another request. */
+  hasFreeSlot(now: number): boolean {
+    for (const [name, server] of this.#servers) {
+      if (server.hasFreeSlot(this.#bounds(name), now)) return true;
+    }
+    return false;
+  }
+
+  /** Replaces the set of servers that may be sent requests. */
+  setServers(records: readonly ServerRecord[]): void {
+    const keep = new Set(records.map(incarnationOf));
+    for (const name of [...this.#servers.keys()]) {
+      if (keep.has(name)) continue;
+      this.#servers.delete(name);
+      this.#ejection.remove(name);
+    }
+    for (const record of records) {
+      const name = incarnationOf(record);
+      const server = this.#servers.get(name);
+      if (server !== undefined) {
+        server.record = record;
+        continue;
+      }
+      this.#servers.set(name, new PooledServer(record));
+      this.#ejection.add(name);
+    }
+  }
+
+  /**
+   * Sets the fractions of each server's slots and rate limit that this group
+   * uses.
+   */
+  setFractions(fractions: GroupFractions): void {
+    this.#fractions = fractions;
+  }
+
+  snapshot(now: number): PoolSnapshot {
+    let largestPrefillLimit = 0;
+    const free = new Map<string, PooledServer>();
+    for (const [name, server] of this.#servers) {
+      largestPrefillLimit = Math.max(largestPrefillLimit, server.prefillLimit);
+      if (server.hasFreeSlot(this.#bounds(name), now)) free.set(name, server);
+    }
+    return {
+      latencyRatios: this.#latencyRatios(now),
+      largestPrefillLimit,
+      free,
+    };
+  }
+
+  /** Returns the free server that is expected to respond soonest. */
+  selectServer(
+    request: GrantRequest,
+    snapshot: PoolSnapshot,
+    now: number,
+  ): string | undefined {
+    const { latencyRatios } = snapshot;
+    let best: string | undefined;
+    let bestScore = Infinity;
+    for (const [name, server] of snapshot.free) {
+      if (request.excludedServers.includes(name)) continue;
+      if (!server.admits(request, snapshot, now)) continue;
+      if (!this.#ejection.allowed(name, now)) continue;
+      const isLocal = server.record.dataCentre === request.dataCentre;
+      const score =
+        server.expectedFirstTokenTime(request.cost, latencyRatios, now) +
+        DECODE_WEIGHT *
+          server.expectedDecodeTime(request.cost, latencyRatios, now) +
+        (isLocal ? 0 : REMOTE_PENALTY);
+      if (score < bestScore) {
+        bestScore = score;
+        best = name;
+      }
+    }
+    return best;
+  }
+
+  recordStart(
+    { request, server: name }: GrantedRequest,
+    snapshot: PoolSnapshot,
+    now: number,
+  ): void {
+    const server = this.#servers.get(name);
+    server?.recordStart(request);
+    server?.countAgainstLimit(now);
+    const bounds = this.#bounds(name);
+    if (!server?.hasFreeSlot(bounds, now)) snapshot.free.delete(name);
+    this.#ejection.recordStart(name, now);
+  }
+
+  /**
+   * Counts a run that another entry has granted; false if its server is
+   * unknown.
+   */
+  adopt({ request, server: name }: GrantedRequest): boolean {
+    const server = this.#servers.get(name);
+    server?.recordStart(request);
+    return server !== undefined;
+  }
+
+  /** Records that the response started `latency` milliseconds after sending. */
+  recordResponseStart(
+    { request, server: name }: GrantedRequest,
+    latency: number,
+    now: number,
+  ): void {
+    const server = this.#servers.get(name);
+    const cost = server?.recordResponseStart(request.id, latency, now);
+    if (cost === undefined) return;
+    const nominal = nominalFirstTokenTime(cost);
+    this.#firstTokenRatio.observe(latency, nominal, now);
+    this.#ejection.recordSuccess(name, now, latency / nominal);
+  }
+
+  /**
+   * Records how fast a response came after its first token. Must be called
+   * before {@link ServerPool.recordEnd}.
+   */
+  recordStreamTiming(
+    { request, server }: GrantedRequest,
+    timing: StreamTiming,
+    now: number,
+  ): void {
+    this.#servers.get(server)?.recordStreamTiming(request.id, timing, now);
+    const cost = { promptTokens: 1, outputTokens: timing.tokens };
+    this.#decodeRatio.observe(timing.measured, nominalDecodeTime(cost), now);
+  }
+
+  /** Removes a run without any effect on the health of its server. */
+  release({ request, server }: GrantedRequest): void {
+    this.#servers.get(server)?.removeRun(request.id);
+  }
+
+  /** Removes a run and updates the health of its server by the outcome. */
+  recordEnd(
+    granted: GrantedRequest,
+    outcome: RunOutcome,
+    now: number,
+  ): void {
+    const { request, server: name } = granted;
+    const server = this.#servers.get(name);
+    if (server === undefined) return;
+    server.removeRun(request.id);
+    switch (outcome) {
+      case "connection_refused":
+        server.refundLimit();
+        server.markDown(now);
+        return;
+      case "misdirected":
+        server.markDown(now);
+        return;
+      case "connection_timeout":
+        server.refundLimit();
+        server.markUnreachableFrom(request.entry, now);
+        return;
+      case "failed":
+      case "broken":
+        this.#ejection.recordFailure(name, "error", now);
+        return;
+      default:
+    }
+  }
+
+  /** Removes all runs of an entry, which has disconnected. */
+  removeEntry(entry: string): void {
+    for (const server of this.#servers.values()) server.removeEntry(entry);
+  }
+
+  /** Milliseconds to the first token at a server of average speed. */
+  expectedFirstTokenTime(request: GrantRequest, now: number): number {
+    return this.#latencyRatios(now).firstToken *
+      nominalFirstTokenTime(request.cost);
+  }
+
+  /** Milliseconds for which the request is expected to occupy a slot. */
+  expectedSlotTime(request: GrantRequest, now: number): number {
+    const { firstToken, decode } = this.#latencyRatios(now);
+    return firstToken * nominalFirstTokenTime(request.cost) +
+      decode * nominalDecodeTime(request.cost);
+  }
+
+  #bounds(server: string): UsageBounds {
+    return { fractions: this.#fractions, limit: this.#limits.find(server) };
+  }
+
+  #latencyRatios(now: number): ServiceLatencyRatios {
+    return {
+      firstToken: this.#firstTokenRatio.value(now, 1),
+      decode: this.#decodeRatio.value(now, 1),
+    };
+  }
+}
