--- a/benchmarks/src/policies/fixed_limit.ts
+++ b/benchmarks/src/policies/fixed_limit.ts
@@ -28,15 +28,15 @@
     return this.running < this.#limit;
   }
 
-  override started(id: string, _cost: Cost): void {
+  override recordStart(id: string, _cost: Cost): void {
     this.#running.add(id);
   }
 
-  override firstToken(): void {}
+  override recordFirstToken(): void {}
 
-  override progressed(): void {}
+  override recordTokens(): void {}
 
-  override finished(id: string): void {
+  override recordEnd(id: string): void {
     this.#running.delete(id);
   }
 }
--- a/packages/daemon/src/moves/entry_moves.ts
+++ b/packages/daemon/src/moves/entry_moves.ts
@@ -62,7 +62,7 @@
     const now = wallNow();
     for (const { view } of this.#known.values()) {
       if (view.move.service !== service || view.move.from !== live) continue;
-      if (view.endInForce(now) === "takenBack") continue;
+      if (view.effectiveOutcome(now) === "takenBack") continue;
       return view.choose(now, this.#options.entries());
     }
     return { version: live };
--- a/packages/daemon/src/moves/move_driver.ts
+++ b/packages/daemon/src/moves/move_driver.ts
@@ -154,7 +154,7 @@
     const facts = {
       verdict: this.#judge.verdict,
       evidence: this.#judge.totals,
-      room: this.#options.room(),
+      capacityShare: this.#options.room(),
     };
     const next = nextStep(current, facts, now);
     if (next) return await this.#write({ ...next, ...this.#fence(current) });
--- a/packages/daemon/src/moves/service_move.ts
+++ b/packages/daemon/src/moves/service_move.ts
@@ -57,7 +57,7 @@
   }
 
   /** How the move stands; by rule also when no record can be had. */
-  endInForce(now: number): MoveOutcome {
+  effectiveOutcome(now: number): MoveOutcome {
     const { phase } = this.#stored.record;
     const deadline = Date.parse(this.move.deadline);
     return effectiveOutcome({ phase, deadline }, now);
@@ -74,7 +74,7 @@
         }
         : {}),
     });
-    const complete = this.endInForce(now) === "complete";
+    const complete = this.effectiveOutcome(now) === "complete";
     const side = complete ? "to" : this.#split.choose();
     if (side === "from") {
       return { move: this.move.name, side, version: this.move.from };
@@ -106,7 +106,7 @@
 
   status(now: number): MoveStatus {
     const { record } = this.#stored;
-    const end = this.endInForce(now);
+    const end = this.effectiveOutcome(now);
     const { name, service, from, to, deadline } = this.move;
     return {
       name,
--- a/packages/daemon/test/move_driver_test.ts
+++ b/packages/daemon/test/move_driver_test.ts
@@ -52,7 +52,7 @@
   }
 
   ends(): string[] {
-    return this.entries.map(({ view }) => view.endInForce(this.now));
+    return this.entries.map(({ view }) => view.effectiveOutcome(this.now));
   }
 
   driving(): number {
--- a/packages/decisions/src/discovery/server_directory.ts
+++ b/packages/decisions/src/discovery/server_directory.ts
@@ -138,7 +138,7 @@
    * Whether this start of the server is still registered, not draining and the
    * last one at its address.
    */
-  mayUse(record: ServerRecord): boolean {
+  isUsable(record: ServerRecord): boolean {
     const current = this.#records.get(record.id);
     return current !== undefined && !current.draining &&
       incarnationOf(current) === incarnationOf(record) &&
--- a/packages/decisions/src/granting/reservation_scheduler.ts
+++ b/packages/decisions/src/granting/reservation_scheduler.ts
@@ -138,7 +138,7 @@
   }
 
   firstToken(id: string, now: number): void {
-    this.#limit.firstToken(id, now);
+    this.#limit.recordFirstToken(id, now);
   }
 
   progressed(
@@ -146,7 +146,7 @@
     outputTokens: number,
     now: number,
   ): ReservationDecision[] {
-    this.#limit.progressed(id, outputTokens, now);
+    this.#limit.recordTokens(id, outputTokens, now);
     return this.#grantAll(now);
   }
 
@@ -157,7 +157,7 @@
     now: number,
   ): ReservationDecision[] {
     if (!this.#running.delete(id)) return [];
-    this.#limit.finished(id, outcome, now);
+    this.#limit.recordEnd(id, outcome, now);
     this.#endActiveSuspect(id);
     return this.#grantAll(now);
   }
@@ -255,7 +255,7 @@
   #grant(reservation: WaitingReservation, now: number): ReservationDecision {
     const grant = this.#nextGrant;
     this.#nextGrant += 1;
-    this.#limit.started(reservation.id, reservation.cost, now);
+    this.#limit.recordStart(reservation.id, reservation.cost, now);
     this.#rateLimiter?.take(now);
     this.#openGrants.set(reservation.id, {
       reservation,
@@ -272,7 +272,7 @@
   #returnGrant(id: string, now: number): void {
     this.#openGrants.delete(id);
     this.#rateLimiter?.refund();
-    this.#limit.finished(id, "cancelled", now);
+    this.#limit.recordEnd(id, "cancelled", now);
     this.#endActiveSuspect(id);
   }
 
--- a/packages/decisions/src/limits/call_limit.ts
+++ b/packages/decisions/src/limits/call_limit.ts
@@ -109,7 +109,7 @@
     return true;
   }
 
-  override started(id: string, _cost: Cost, now: number): void {
+  override recordStart(id: string, _cost: Cost, now: number): void {
     this.#starvationGuard.recordStart(id);
     this.#exclusiveRun.recordStart(id);
     this.#startTimes.set(id, now);
@@ -117,11 +117,15 @@
     this.#update(now);
   }
 
-  override firstToken(_id: string, _now: number): void {}
+  override recordFirstToken(_id: string, _now: number): void {}
 
-  override progressed(_id: string, _outputTokens: number, _now: number): void {}
+  override recordTokens(
+    _id: string,
+    _outputTokens: number,
+    _now: number,
+  ): void {}
 
-  override finished(id: string, outcome: Outcome, now: number): void {
+  override recordEnd(id: string, outcome: Outcome, now: number): void {
     const startedAt = this.#startTimes.get(id);
     if (startedAt === undefined) {
       return;
--- a/packages/decisions/src/limits/concurrency_limit.ts
+++ b/packages/decisions/src/limits/concurrency_limit.ts
@@ -10,7 +10,7 @@
 /**
  * An adaptive concurrency limit, derived from the measured behaviour of the
  * server rather than configured. A request counts as running from
- * {@link ConcurrencyLimit.started} to {@link ConcurrencyLimit.finished}; events
+ * {@link ConcurrencyLimit.recordStart} to {@link ConcurrencyLimit.recordEnd}; events
  * with unknown ids are ignored.
  */
 export abstract class ConcurrencyLimit {
@@ -20,19 +20,19 @@
   abstract admits(reservation: WaitingReservation): boolean;
 
   /** Records that the request was granted; it uses capacity from now on. */
-  abstract started(id: string, cost: Cost, now: number): void;
+  abstract recordStart(id: string, cost: Cost, now: number): void;
 
   /**
    * Records that the first token, or the head of a plain response, has arrived.
    */
-  abstract firstToken(id: string, now: number): void;
+  abstract recordFirstToken(id: string, now: number): void;
 
   /**
    * Records that `outputTokens` tokens have arrived since the previous call.
    */
-  abstract progressed(id: string, outputTokens: number, now: number): void;
+  abstract recordTokens(id: string, outputTokens: number, now: number): void;
 
-  abstract finished(id: string, outcome: Outcome, now: number): void;
+  abstract recordEnd(id: string, outcome: Outcome, now: number): void;
 
   /** Number of running requests. */
   abstract get running(): number;
--- a/packages/decisions/src/limits/token_limit.ts
+++ b/packages/decisions/src/limits/token_limit.ts
@@ -168,7 +168,7 @@
     return true;
   }
 
-  override started(id: string, cost: Cost, now: number): void {
+  override recordStart(id: string, cost: Cost, now: number): void {
     const long = this.#isLong(cost);
     this.#starvationGuard.recordStart(id);
     this.#exclusiveRun.recordStart(id);
@@ -180,7 +180,7 @@
     this.#update(now);
   }
 
-  override firstToken(id: string, now: number): void {
+  override recordFirstToken(id: string, now: number): void {
     const sequence = this.#running.get(id);
     if (sequence === undefined || sequence.lastTokenAt !== undefined) {
       return;
@@ -191,13 +191,13 @@
     this.#update(now);
   }
 
-  override progressed(id: string, outputTokens: number, now: number): void {
+  override recordTokens(id: string, outputTokens: number, now: number): void {
     const sequence = this.#running.get(id);
     if (sequence === undefined || outputTokens <= 0) {
       return;
     }
     if (sequence.lastTokenAt === undefined) {
-      this.firstToken(id, now);
+      this.recordFirstToken(id, now);
       return;
     }
     const elapsed = now - sequence.lastTokenAt;
@@ -206,7 +206,7 @@
     this.#update(now);
   }
 
-  override finished(id: string, _outcome: Outcome, now: number): void {
+  override recordEnd(id: string, _outcome: Outcome, now: number): void {
     const sequence = this.#running.get(id);
     if (sequence === undefined) {
       return;
--- a/packages/decisions/src/moves/move_steps.ts
+++ b/packages/decisions/src/moves/move_steps.ts
@@ -48,7 +48,7 @@
   /** Counts of each route since the move began. */
   evidence: readonly RouteEvidence[];
   /** Largest share of the current requests that the new version can carry. */
-  room: number;
+  capacityShare: number;
 };
 
 /** Outcome of a move, or `running`. */
@@ -99,13 +99,13 @@
   if (record.phase === "pending") {
     const event = "start";
     const share = record.trialShare;
-    const ready = inputs.room >= share;
+    const ready = inputs.capacityShare >= share;
     return ready ? advance(record, inputs, { event, share, now }) : undefined;
   }
   if (!isStepComplete(record, inputs, now)) return undefined;
   const next = record.phase === "trial" ? 0 : record.step + 1;
   const share = RAISED_SHARES[next] ?? 1;
-  if (inputs.room < share) return undefined;
+  if (inputs.capacityShare < share) return undefined;
   const event = next < RAISED_SHARES.length ? "raise" : "finish";
   return advance(record, inputs, { event, share, now, step: next });
 }
@@ -117,7 +117,7 @@
 ): TakenBackReason | undefined {
   if (inputs.verdict.kind === "bad") return inputs.verdict.reason;
   if (now <= record.deadline - COMPLETION_GUARD) return undefined;
-  if (record.phase === "pending" || inputs.room < nextShare(record)) {
+  if (record.phase === "pending" || inputs.capacityShare < nextShare(record)) {
     return "no_room";
   }
   return newVersionCalls(inputs) === 0 ? "no_evidence" : "deadline";
--- a/packages/decisions/test/call_limit_test.ts
+++ b/packages/decisions/test/call_limit_test.ts
@@ -23,7 +23,7 @@
   run(end: number): void {
     for (; this.now < end; this.now += 1) {
       while (this.limit.admits(waitingReservation(`${this.#count}`))) {
-        this.limit.started(`${this.#count}`, CALL, this.now);
+        this.limit.recordStart(`${this.#count}`, CALL, this.now);
         this.#calls.push({ id: `${this.#count}`, remaining: this.latency });
         this.#count += 1;
       }
@@ -32,7 +32,7 @@
         if (call.remaining <= 0) {
           this.#calls.splice(this.#calls.indexOf(call), 1);
           const outcome = this.failing ? "failed" : "ok";
-          this.limit.finished(call.id, outcome, this.now);
+          this.limit.recordEnd(call.id, outcome, this.now);
           this.served += 1;
         }
       }
@@ -81,11 +81,11 @@
 t.test("no call is admitted beside a suspect", (t) => {
   const limit = new CallLimit();
   t.equal(limit.admits(waitingReservation("suspect", { suspect: true })), true);
-  limit.started("suspect", CALL, 0);
+  limit.recordStart("suspect", CALL, 0);
   t.equal(limit.admits(waitingReservation("other")), false);
-  limit.finished("suspect", "ok", 5);
+  limit.recordEnd("suspect", "ok", 5);
   t.equal(limit.admits(waitingReservation("other")), true);
-  limit.started("other", CALL, 5);
+  limit.recordStart("other", CALL, 5);
   t.equal(
     limit.admits(waitingReservation("suspect", { suspect: true })),
     false,
--- a/packages/decisions/test/move_fixtures.ts
+++ b/packages/decisions/test/move_fixtures.ts
@@ -38,10 +38,10 @@
   evidence: [],
 };
 
-export function factsWith(ended: number, room = 1): MoveInputs {
+export function factsWith(ended: number, capacityShare = 1): MoveInputs {
   return {
     verdict: { kind: "undecided" },
     evidence: [evidence("chat", [1000, 0, 0], [ended, 0, 0])],
-    room,
+    capacityShare: capacityShare,
   };
 }
--- a/packages/decisions/test/server_directory_test.ts
+++ b/packages/decisions/test/server_directory_test.ts
@@ -54,9 +54,9 @@
   directory.recordStoreResponse(0);
   const first = server("x");
   directory.replace([first], 5, 0);
-  t.ok(directory.mayUse(first));
+  t.ok(directory.isUsable(first));
   directory.put("x", server("x", { startedAt: 2 }), 10);
-  t.notOk(directory.mayUse(first), "an earlier start with the same id");
+  t.notOk(directory.isUsable(first), "an earlier start with the same id");
   directory.put("x", server("x", { startedAt: 2, draining: true }), 20);
   t.same(usableIds(directory, 20), []);
   directory.put("y", server("y"), 30);
@@ -75,8 +75,8 @@
   const later = server("new", { startedAt: 2000 });
   directory.put("new", later, 20);
   t.same(usableIds(directory, 20), ["z", "new"]);
-  t.notOk(directory.mayUse(old));
-  t.ok(directory.mayUse(later));
+  t.notOk(directory.isUsable(old));
+  t.ok(directory.isUsable(later));
   directory.remove("new", 30);
   t.same(usableIds(directory, 30), ["old", "z"]);
   t.end();
--- a/packages/decisions/test/simulated_engine.ts
+++ b/packages/decisions/test/simulated_engine.ts
@@ -33,7 +33,7 @@
 
 /** Takes requests as the limit allows, and runs them step by step. */
 export class SimulatedEngine {
-  readonly answers = new Map<string, SimulatedResponse>();
+  readonly responses = new Map<string, SimulatedResponse>();
   now = 0;
   speed = 1;
   /** Factor of the next step's duration, for noise. */
@@ -77,7 +77,7 @@
         return;
       }
       const { id, cost, arrived } = next;
-      this.#limit.started(id, cost, this.now);
+      this.#limit.recordStart(id, cost, this.now);
       const { promptTokens, outputTokens } = cost;
       const sequence = { id, prompt: promptTokens, output: outputTokens };
       this.#running.add({ ...sequence, cost, arrived });
@@ -117,15 +117,15 @@
 
   #token(sequence: Sequence): void {
     const { id, arrived } = sequence;
-    const started = this.answers.get(id);
+    const started = this.responses.get(id);
     const response = started ?? { id, firstToken: this.now - arrived };
-    this.answers.set(id, response);
-    this.#limit.progressed(id, 1, this.now);
+    this.responses.set(id, response);
+    this.#limit.recordTokens(id, 1, this.now);
     sequence.output -= 1;
     if (sequence.output <= 0) {
       response.finished = this.now - arrived;
       this.#running.delete(sequence);
-      this.#limit.finished(id, "ok", this.now);
+      this.#limit.recordEnd(id, "ok", this.now);
     }
   }
 }
--- a/packages/decisions/test/token_limit_test.ts
+++ b/packages/decisions/test/token_limit_test.ts
@@ -88,10 +88,10 @@
 t.test("a stalled engine admits nothing more", (t) => {
   const limit = new TokenLimit();
   for (let index = 0; index < 3; index += 1) {
-    limit.started(String(index), REPLY, 0);
-    limit.progressed(String(index), 1, 50);
+    limit.recordStart(String(index), REPLY, 0);
+    limit.recordTokens(String(index), 1, 50);
   }
-  limit.started("late", REPLY, 5000);
+  limit.recordStart("late", REPLY, 5000);
   t.equal(limit.limit, 2);
   t.equal(limit.admits(waitingReservation("more", { cost: REPLY })), false);
   t.end();
@@ -131,7 +131,7 @@
     }
   });
   const late = urgent.slice(0, -2).filter((id) => {
-    return (engine.answers.get(id)?.firstToken ?? Infinity) > 1300;
+    return (engine.responses.get(id)?.firstToken ?? Infinity) > 1300;
   });
   t.ok(urgent.length > 5);
   t.same(late, []);
@@ -150,7 +150,7 @@
   });
   t.ok(limit.tokenLimit < 90_000, `${limit.tokenLimit} tokens`);
   const late = short.filter((id) => {
-    return (engine.answers.get(id)?.firstToken ?? Infinity) > 5000;
+    return (engine.responses.get(id)?.firstToken ?? Infinity) > 5000;
   });
   t.ok(late.length < 0.1 * short.length, `${late.length}/${short.length}`);
   t.end();
@@ -167,7 +167,7 @@
     }
   });
   const inTime = short.filter((id) => {
-    return (engine.answers.get(id)?.firstToken ?? Infinity) <= 1300;
+    return (engine.responses.get(id)?.firstToken ?? Infinity) <= 1300;
   });
   t.ok(inTime.length > 0.9 * short.length, `${inTime.length}/${short.length}`);
   t.end();
@@ -179,7 +179,7 @@
   engine.run(10_000, () => fillQueue(IDENTIFICATION));
   const quote = offer(QUOTE);
   engine.run(12_000, () => fillQueue(IDENTIFICATION));
-  t.ok(engine.answers.has(quote) || engine.isRunning(quote));
+  t.ok(engine.responses.has(quote) || engine.isRunning(quote));
   t.end();
 });
 
@@ -188,7 +188,7 @@
   engine.run(60_000, () => fillQueue(tokenCost(4000, 900)));
   const large = offer(tokenCost(60_000, 2000));
   engine.run(180_000, () => fillQueue(tokenCost(4000, 900)));
-  t.ok(engine.answers.has(large) || engine.isRunning(large));
+  t.ok(engine.responses.has(large) || engine.isRunning(large));
   t.end();
 });
 
@@ -203,7 +203,7 @@
       ? Math.max(maxRunning, limit.running)
       : maxRunning;
   });
-  t.ok(engine.answers.get(suspect)?.finished);
+  t.ok(engine.responses.get(suspect)?.finished);
   t.equal(maxRunning, 1);
   t.end();
 });
--- a/packages/gateway/src/backend/usable_servers.ts
+++ b/packages/gateway/src/backend/usable_servers.ts
@@ -28,6 +28,6 @@
   /** The current record of a server; `undefined` if it may not be used. */
   find(incarnation: string): ServerRecord | undefined {
     const record = this.#servers.get(incarnation);
-    return record && this.#directory.mayUse(record) ? record : undefined;
+    return record && this.#directory.isUsable(record) ? record : undefined;
   }
 }
--- a/packages/gateway/src/peers/grant_client.ts
+++ b/packages/gateway/src/peers/grant_client.ts
@@ -227,8 +227,8 @@
       case "refuse": {
         const { id, reason, retryAfter } = message;
         const { free, waiting, quotaWait, standing } = message;
-        const seen = { free, waiting, quotaWait, standing };
-        const result = { reason, retryAfter, seen, by: peer };
+        const inputs = { free, waiting, quotaWait, standing };
+        const result = { reason, retryAfter, inputs: inputs, by: peer };
         this.#settle(id, { kind: "refuse", ...result });
         return true;
       }
--- a/packages/gateway/src/peers/pending_grant.ts
+++ b/packages/gateway/src/peers/pending_grant.ts
@@ -12,7 +12,7 @@
     kind: "refuse";
     reason: GrantRefusalReason;
     retryAfter: number;
-    seen: RefusalInputs;
+    inputs: RefusalInputs;
     by: string;
   };
 
--- a/packages/gateway/src/request/final_response.ts
+++ b/packages/gateway/src/request/final_response.ts
@@ -18,7 +18,7 @@
   remainingTime: number;
   retryAfter?: number | undefined;
   /** The entry that refused the request, and the inputs of its decision. */
-  decision?: { by: string; seen: RefusalInputs } | undefined;
+  decision?: { by: string; inputs: RefusalInputs } | undefined;
 };
 
 /** Sends the final response once, and logs and counts it. */
--- a/packages/gateway/src/request/request_report.ts
+++ b/packages/gateway/src/request/request_report.ts
@@ -72,7 +72,7 @@
       retryAfter: number;
       mayHaveRun: boolean;
       /** Set if a granting entry refused the request. */
-      decision?: { by: string; seen: RefusalInputs };
+      decision?: { by: string; inputs: RefusalInputs };
     },
   ): void {
     const { metrics, log } = this.#context;
@@ -97,10 +97,10 @@
       charge,
       ...(decision && {
         by: decision.by,
-        free: decision.seen.free,
-        waiting: decision.seen.waiting,
-        quotaWait: Math.round(decision.seen.quotaWait),
-        standing: decision.seen.standing ?? "unqueued",
+        free: decision.inputs.free,
+        waiting: decision.inputs.waiting,
+        quotaWait: Math.round(decision.inputs.quotaWait),
+        standing: decision.inputs.standing ?? "unqueued",
       }),
     });
   }
