--- a/benchmarks/src/claims/measure_claims.ts
+++ b/benchmarks/src/claims/measure_claims.ts
@@ -1,7 +1,7 @@
 /** Claims and outcomes at a steady rate over several ledgers. @module */
 import { startKeyValueStore } from "@sycamorepulley/emulator";
 import {
-  claimCommitOptions,
+  claimCommitBudgetOptions,
   ClaimLedger,
   HttpKeyValueStore,
 } from "@sycamorepulley/store";
@@ -38,7 +38,10 @@
     () => new HttpKeyValueStore({ url: server.url }),
   );
   const ledgers = stores.map((store) =>
-    new ClaimLedger({ store, commits: claimCommitOptions(3 * options.ledgers) })
+    new ClaimLedger({
+      store,
+      commitBudget: claimCommitBudgetOptions(3 * options.ledgers),
+    })
   );
   const waits = await offerLoad(ledgers, options.perSecond);
   const counts = await (await fetch(`${server.url}/counts`)).json() as {
@@ -77,7 +80,7 @@
     await sleep(TICK);
   }
   const waits = await Promise.all(requests);
-  await Promise.all(ledgers.map((ledger) => ledger.drained()));
+  await Promise.all(ledgers.map((ledger) => ledger.waitForDrain()));
   return waits;
 }
 
--- a/benchmarks/src/claims/measure_size.ts
+++ b/benchmarks/src/claims/measure_size.ts
@@ -19,8 +19,8 @@
   const store = new MemoryKeyValueStore();
   const ledger = new ClaimLedger({
     store,
-    commits: { perSecond: 1e6, burst: 1e6 },
-    settlementDelay: 1,
+    commitBudget: { perSecond: 1e6, burst: 1e6 },
+    batchDelay: 1,
   });
   for (let start = 0; start < CLAIMS; start += BATCH) {
     const batch = Array.from(
@@ -29,7 +29,7 @@
     );
     await Promise.all(batch);
   }
-  await ledger.drained();
+  await ledger.waitForDrain();
   const { entries } = store.backup();
   const sizes = entries
     .filter(([key]) => !key.includes("/index/"))
--- a/packages/command_line/src/commands/check.ts
+++ b/packages/command_line/src/commands/check.ts
@@ -5,7 +5,7 @@
   readPublished,
 } from "@sycamorepulley/configuration";
 import type {
-  Objects,
+  ConfigurationObjects,
   Problem,
   ReadObjects,
 } from "@sycamorepulley/configuration";
@@ -51,7 +51,7 @@
 
 async function publishedObjects(
   context: Context,
-): Promise<Objects | undefined> {
+): Promise<ConfigurationObjects | undefined> {
   if (context.store === undefined) {
     return undefined;
   }
--- a/packages/configuration/src/check/check_moves.ts
+++ b/packages/configuration/src/check/check_moves.ts
@@ -1,11 +1,11 @@
 /** Moves shift traffic off the live version, one at a time. @module */
-import type { Move, Objects } from "../objects.ts";
+import type { ConfigurationObjects, Move } from "../objects.ts";
 import type { Findings } from "./findings.ts";
 
 type MoveCheck = {
   move: Move;
   index: number;
-  objects: Objects;
+  objects: ConfigurationObjects;
   findings: Findings;
 };
 
@@ -14,8 +14,12 @@
  * but a new or edited one must lie ahead, or it is over before it begins.
  */
 export function checkMoves(
-  objects: Objects,
-  options: { now: number; before: Objects | undefined; findings: Findings },
+  objects: ConfigurationObjects,
+  options: {
+    now: number;
+    before: ConfigurationObjects | undefined;
+    findings: Findings;
+  },
 ): void {
   const { now, before, findings } = options;
   const unfinished = new Map<string, string>();
@@ -64,7 +68,10 @@
   }
 }
 
-function checkUnchanged(check: MoveCheck, before: Objects | undefined): void {
+function checkUnchanged(
+  check: MoveCheck,
+  before: ConfigurationObjects | undefined,
+): void {
   const { move, index, findings } = check;
   const published = before?.moves.find((other) => other.name === move.name);
   if (JSON.stringify(published) === JSON.stringify(move)) {
--- a/packages/configuration/src/check/check_objects.ts
+++ b/packages/configuration/src/check/check_objects.ts
@@ -1,5 +1,5 @@
 /** The check of the whole set, without which nothing is published. @module */
-import type { Objects } from "../objects.ts";
+import type { ConfigurationObjects } from "../objects.ts";
 import type { Problem } from "../problem.ts";
 import type { Source } from "../source.ts";
 import { checkMoves } from "./check_moves.ts";
@@ -17,12 +17,12 @@
   /** Gives problems their lines. */
   source?: Source;
   /** The set in force; its moves that are over may stay. */
-  before?: Objects;
+  before?: ConfigurationObjects;
 };
 
 /** Every problem of the set; an empty list means it may be published. */
 export function checkObjects(
-  objects: Objects,
+  objects: ConfigurationObjects,
   options: CheckOptions,
 ): Problem[] {
   const findings = new Findings(objects, options.source);
--- a/packages/configuration/src/check/check_organisations.ts
+++ b/packages/configuration/src/check/check_organisations.ts
@@ -1,10 +1,13 @@
 /** Organisations refer to existing services and tiers. @module */
-import type { Objects } from "../objects.ts";
+import type { ConfigurationObjects } from "../objects.ts";
 import type { ObjectPath } from "../problem.ts";
 import type { Findings } from "./findings.ts";
 
 /** A credential must mean one organisation, or its callers share an account. */
-export function checkOrganisations(objects: Objects, findings: Findings): void {
+export function checkOrganisations(
+  objects: ConfigurationObjects,
+  findings: Findings,
+): void {
   const services = new Set(objects.services.map((service) => service.name));
   const tiers = new Set(objects.tiers.map((tier) => tier.name));
   objects.organisations.forEach((organisation, index) => {
@@ -48,7 +51,10 @@
   });
 }
 
-function checkCredentials(objects: Objects, findings: Findings): void {
+function checkCredentials(
+  objects: ConfigurationObjects,
+  findings: Findings,
+): void {
   findings.addRepeated({
     entries: objects.organisations.flatMap((organisation, index) =>
       organisation.credentials.map((credential, position) => ({
--- a/packages/configuration/src/check/check_services.ts
+++ b/packages/configuration/src/check/check_services.ts
@@ -1,12 +1,15 @@
 /** Services name existing tiers, and their routes are unambiguous. @module */
-import type { Objects, Route, Service } from "../objects.ts";
+import type { ConfigurationObjects, Route, Service } from "../objects.ts";
 import type { Findings } from "./findings.ts";
 
 /** Methods that clients and balancers repeat without being asked. */
 const SAFE_METHODS = new Set(["GET", "HEAD"]);
 
 /** Checks each service; see the messages for the rules. */
-export function checkServices(objects: Objects, findings: Findings): void {
+export function checkServices(
+  objects: ConfigurationObjects,
+  findings: Findings,
+): void {
   const tiers = new Set(objects.tiers.map((tier) => tier.name));
   objects.services.forEach((service, index) => {
     findings.addDangling({
@@ -38,7 +41,7 @@
   }
 }
 
-function checkModels(objects: Objects, findings: Findings): void {
+function checkModels(objects: ConfigurationObjects, findings: Findings): void {
   findings.addRepeated({
     entries: objects.services.flatMap((service, index) =>
       service.models.map((model, position) => ({
--- a/packages/configuration/src/check/check_tiers.ts
+++ b/packages/configuration/src/check/check_tiers.ts
@@ -1,9 +1,12 @@
 /** Tiers are ranked without ties. @module */
-import type { Objects } from "../objects.ts";
+import type { ConfigurationObjects } from "../objects.ts";
 import type { Findings } from "./findings.ts";
 
 /** Equal ranks would leave open which of two tiers is shed first. */
-export function checkTiers(objects: Objects, findings: Findings): void {
+export function checkTiers(
+  objects: ConfigurationObjects,
+  findings: Findings,
+): void {
   findings.addRepeated({
     entries: objects.tiers.map((tier, index) => ({
       path: ["tiers", index, "rank"],
--- a/packages/configuration/src/check/check_versions.ts
+++ b/packages/configuration/src/check/check_versions.ts
@@ -1,9 +1,12 @@
 /** A service with versions has exactly one that is live. @module */
-import type { Objects } from "../objects.ts";
+import type { ConfigurationObjects } from "../objects.ts";
 import type { Findings } from "./findings.ts";
 
 /** Without a live version a service's requests have nowhere to go. */
-export function checkVersions(objects: Objects, findings: Findings): void {
+export function checkVersions(
+  objects: ConfigurationObjects,
+  findings: Findings,
+): void {
   const services = new Set(objects.services.map((service) => service.name));
   const live = new Map<string, string>();
   objects.versions.forEach((version, index) => {
@@ -30,7 +33,7 @@
 
 function checkLiveness(
   options: {
-    objects: Objects;
+    objects: ConfigurationObjects;
     live: Map<string, string>;
     findings: Findings;
   },
--- a/packages/configuration/src/check/findings.ts
+++ b/packages/configuration/src/check/findings.ts
@@ -1,6 +1,6 @@
 /** Collects what the checks find. @module */
 import { objectAt } from "../read_objects.ts";
-import type { Objects } from "../objects.ts";
+import type { ConfigurationObjects } from "../objects.ts";
 import { fieldName } from "../problem.ts";
 import type { ObjectPath, Problem } from "../problem.ts";
 import type { Source } from "../source.ts";
@@ -11,10 +11,10 @@
 /** Turns findings into problems with file, line, object and field. */
 export class Findings {
   readonly problems: Problem[] = [];
-  readonly #objects: Objects;
+  readonly #objects: ConfigurationObjects;
   readonly #source: Source | undefined;
 
-  constructor(objects: Objects, source: Source | undefined) {
+  constructor(objects: ConfigurationObjects, source: Source | undefined) {
     this.#objects = objects;
     this.#source = source;
   }
--- a/packages/configuration/src/configuration_follower.ts
+++ b/packages/configuration/src/configuration_follower.ts
@@ -1,7 +1,7 @@
 /** Keeps a process's configuration up to date. @module */
 import { setTimeout as sleep } from "node:timers/promises";
 import type {
-  Entry,
+  KeyValueEntry,
   KeyValueStore,
   PlatformError,
 } from "@sycamorepulley/store";
@@ -63,7 +63,7 @@
   }
 
   /** The set in force; absent until one is found. */
-  get inForce(): Snapshot | undefined {
+  get activeSnapshot(): Snapshot | undefined {
     return this.#inForce;
   }
 
@@ -78,7 +78,7 @@
   }
 
   /** Offers a manifest that a peer sent; `true` if it is now in force. */
-  offer(text: string): boolean {
+  receiveManifest(text: string): boolean {
     const offered = decodeManifest(text);
     if (offered.isErr) {
       this.counts.malformed += 1;
@@ -124,7 +124,7 @@
     }
   }
 
-  #read(entry: Entry | undefined): void {
+  #read(entry: KeyValueEntry | undefined): void {
     this.#seenRevision = entry?.revision ?? 0;
     this.#storedRevision = 0;
     if (entry === undefined) {
--- a/packages/configuration/src/configuration_index.ts
+++ b/packages/configuration/src/configuration_index.ts
@@ -2,8 +2,8 @@
 import { createHash } from "node:crypto";
 import { Result } from "true-myth/result";
 import type {
+  ConfigurationObjects,
   Move,
-  Objects,
   Organisation,
   Route,
   Service,
@@ -27,14 +27,14 @@
 
 /** Built once for each snapshot. */
 export class ConfigurationIndex {
-  readonly objects: Objects;
+  readonly objects: ConfigurationObjects;
   readonly #services: Map<string, Service>;
   readonly #tiers: Map<string, Tier>;
   readonly #organisations: Map<string, Organisation>;
   readonly #models = new Map<string, Service>();
   readonly #credentials = new Map<string, Organisation>();
 
-  constructor(objects: Objects) {
+  constructor(objects: ConfigurationObjects) {
     this.objects = objects;
     this.#services = byName(objects.services);
     this.#tiers = byName(objects.tiers);
@@ -67,7 +67,7 @@
   }
 
   /** The organisation that a bearer token was issued to. */
-  organisationOfCredential(token: string): Organisation | undefined {
+  organisationOfToken(token: string): Organisation | undefined {
     const hash = createHash("sha256").update(token).digest("hex");
     return this.#credentials.get(hash);
   }
@@ -77,7 +77,7 @@
    * prefix. A call that no route names is idempotent only if its method is safe.
    * `path` is without the query.
    */
-  routeOf(service: Service, method: string, path: string): RouteTreatment {
+  matchRoute(service: Service, method: string, path: string): RouteTreatment {
     if (service.kind === "model") {
       const tier = service.defaultTier;
       return { route: "chat/completions", idempotent: true, tier };
@@ -94,10 +94,15 @@
    * The tier that a request is served in. The one that its route or service
    * gives is always allowed; another must be among its organisation's.
    */
-  tierOf(
-    options: { organisation: Organisation; given: string; asked?: string },
+  resolveTier(
+    options: {
+      organisation: Organisation;
+      defaultTier: string;
+      requestedTier?: string;
+    },
   ): Result<Tier, TierRefusal> {
-    const { organisation, given, asked = given } = options;
+    const { organisation, defaultTier: given, requestedTier: asked = given } =
+      options;
     const tier = this.#tiers.get(asked);
     if (tier === undefined) {
       return Result.err("unknown_tier");
--- a/packages/configuration/src/diff_objects.ts
+++ b/packages/configuration/src/diff_objects.ts
@@ -2,7 +2,7 @@
 import { isDeepStrictEqual } from "node:util";
 import { KINDS, objectIdentity } from "./kinds.ts";
 import type { NamedObject } from "./kinds.ts";
-import type { Objects } from "./objects.ts";
+import type { ConfigurationObjects } from "./objects.ts";
 
 /** A field of a changed object. */
 export type FieldChange = { field: string; before: unknown; after: unknown };
@@ -17,7 +17,10 @@
 };
 
 /** The changes from `before` to `after`; the order of objects means nothing. */
-export function diffObjects(before: Objects, after: Objects): ObjectChange[] {
+export function diffObjects(
+  before: ConfigurationObjects,
+  after: ConfigurationObjects,
+): ObjectChange[] {
   const changes: ObjectChange[] = [];
   const old = objectsByIdentity(before);
   for (const [object, value] of objectsByIdentity(after)) {
@@ -36,7 +39,9 @@
   return changes;
 }
 
-function objectsByIdentity(objects: Objects): Map<string, NamedObject> {
+function objectsByIdentity(
+  objects: ConfigurationObjects,
+): Map<string, NamedObject> {
   return new Map(
     KINDS.flatMap((kind) =>
       objects[kind].map((object): [string, NamedObject] => [
--- a/packages/configuration/src/kinds.ts
+++ b/packages/configuration/src/kinds.ts
@@ -1,8 +1,8 @@
 /** Naming objects across kinds: `services/assistant`, `versions/assistant/v2`. @module */
-import type { Objects } from "./objects.ts";
+import type { ConfigurationObjects } from "./objects.ts";
 
 /** A list of the set. */
-export type Kind = keyof Objects;
+export type Kind = keyof ConfigurationObjects;
 
 /** Every kind, in the order in which they are shown. */
 export const KINDS: readonly Kind[] = [
@@ -14,7 +14,7 @@
 ];
 
 /** An object of any kind. */
-export type NamedObject = Objects[Kind][number];
+export type NamedObject = ConfigurationObjects[Kind][number];
 
 /** The one name of an object within the set; a version's includes its service. */
 export function objectIdentity(kind: Kind, object: NamedObject): string {
--- a/packages/configuration/src/objects.ts
+++ b/packages/configuration/src/objects.ts
@@ -115,10 +115,10 @@
   moves: v.optional(v.array(moveSchema), []),
 });
 /** See {@link objectsSchema}. */
-export type Objects = v.InferOutput<typeof objectsSchema>;
+export type ConfigurationObjects = v.InferOutput<typeof objectsSchema>;
 
 /** What is published before the first set. */
-export const NO_OBJECTS: Objects = {
+export const NO_OBJECTS: ConfigurationObjects = {
   services: [],
   tiers: [],
   organisations: [],
--- a/packages/configuration/src/parse_objects.ts
+++ b/packages/configuration/src/parse_objects.ts
@@ -8,10 +8,12 @@
 import { Result } from "true-myth/result";
 import * as v from "valibot";
 import { objectsSchema } from "./objects.ts";
-import type { Objects } from "./objects.ts";
+import type { ConfigurationObjects } from "./objects.ts";
 
 /** The error says what is wrong first. */
-export function parseObjects(text: string): Result<Objects, string> {
+export function parseObjects(
+  text: string,
+): Result<ConfigurationObjects, string> {
   const value = parsePlain(text) ?? parseCommented(text);
   const parsed = v.safeParse(objectsSchema, value, { abortEarly: true });
   if (parsed.success) {
--- a/packages/configuration/src/publish.ts
+++ b/packages/configuration/src/publish.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { Result } from "true-myth/result";
 import type {
-  Entry,
+  KeyValueEntry,
   KeyValueStore,
   PlatformError,
 } from "@sycamorepulley/store";
@@ -15,7 +15,7 @@
   publishedSource,
 } from "./manifest.ts";
 import { NO_OBJECTS } from "./objects.ts";
-import type { Objects } from "./objects.ts";
+import type { ConfigurationObjects } from "./objects.ts";
 import type { PublishError } from "./publish_error.ts";
 import type { Snapshot } from "./snapshot.ts";
 import type { Source } from "./source.ts";
@@ -26,7 +26,7 @@
 /** What to publish and on what it is based. */
 export type PublishOptions = {
   store: KeyValueStore;
-  objects: Objects;
+  objects: ConfigurationObjects;
   /** The operator's file; gives problems their lines. */
   source?: Source;
   /** What to publish word for word; by default the operator's file. */
@@ -47,7 +47,10 @@
 /** The snapshot that is published now; `unchanged` when it already was. */
 export type Published = { snapshot: Snapshot; unchanged: boolean };
 
-type Current = { entry: Entry | undefined; snapshot: Snapshot | undefined };
+type Current = {
+  entry: KeyValueEntry | undefined;
+  snapshot: Snapshot | undefined;
+};
 
 /** Checks the whole set and publishes it if nobody published since the base. */
 export async function publish(
--- a/packages/configuration/src/read_objects.ts
+++ b/packages/configuration/src/read_objects.ts
@@ -6,13 +6,13 @@
 import { KINDS, objectIdentity } from "./kinds.ts";
 import type { Kind, NamedObject } from "./kinds.ts";
 import { objectsSchema } from "./objects.ts";
-import type { Objects } from "./objects.ts";
+import type { ConfigurationObjects } from "./objects.ts";
 import { fieldName } from "./problem.ts";
 import type { ObjectPath, Problem } from "./problem.ts";
 import { Source } from "./source.ts";
 
 /** A file whose every object has the right shape; references are not checked. */
-export type ReadObjects = { objects: Objects; source: Source };
+export type ReadObjects = { objects: ConfigurationObjects; source: Source };
 
 /** Parses `text`; `file` only names it in problems. */
 export function readObjects(
--- a/packages/configuration/src/snapshot.ts
+++ b/packages/configuration/src/snapshot.ts
@@ -1,5 +1,5 @@
 /** A published set as a process holds it. @module */
-import type { Objects } from "./objects.ts";
+import type { ConfigurationObjects } from "./objects.ts";
 
 /** One publish, kept so that a conflict can say who changed what. */
 export type Publication = {
@@ -22,7 +22,7 @@
   publishedAt: number;
   /** The latest publications, this one last. */
   history: Publication[];
-  objects: Objects;
+  objects: ConfigurationObjects;
   /** The manifest as the store holds it, to be handed on to peers. */
   text: string;
 };
--- a/packages/configuration/test/configuration_follower_test.ts
+++ b/packages/configuration/test/configuration_follower_test.ts
@@ -72,9 +72,9 @@
   const { follower } = follow();
   await follower.poll();
   t.match(follower.lastError, { reason: "unreachable" });
-  t.ok(follower.offer(manifest(5)));
-  t.notOk(follower.offer(manifest(4)));
-  t.notOk(follower.offer("noise"));
+  t.ok(follower.receiveManifest(manifest(5)));
+  t.notOk(follower.receiveManifest(manifest(4)));
+  t.notOk(follower.receiveManifest("noise"));
   await follower.poll();
   t.equal(follower.revision, 5);
   t.match(follower.counts, { adopted: 1, malformed: 1, failed: 2 });
--- a/packages/configuration/test/configuration_index_test.ts
+++ b/packages/configuration/test/configuration_index_test.ts
@@ -7,8 +7,8 @@
 const cafe = index.organisation("cafe")!;
 
 t.test("finds who calls and what is meant", (t) => {
-  t.equal(index.organisationOfCredential("token"), cafe);
-  t.equal(index.organisationOfCredential("other"), undefined);
+  t.equal(index.organisationOfToken("token"), cafe);
+  t.equal(index.organisationOfToken("other"), undefined);
   t.equal(index.serviceOfModel("tea-1")?.name, "assistant");
   t.equal(index.liveVersion("assistant")?.name, "v1");
   t.equal(index.unfinishedMove("assistant", NOW)?.name, "to-v2");
@@ -17,11 +17,11 @@
 });
 
 t.test("an exact route goes before a prefix", (t) => {
-  t.match(index.routeOf(orders, "POST", "/orders/search"), {
+  t.match(index.matchRoute(orders, "POST", "/orders/search"), {
     idempotent: true,
     tier: "batch",
   });
-  t.match(index.routeOf(orders, "POST", "/orders/7"), {
+  t.match(index.matchRoute(orders, "POST", "/orders/7"), {
     route: "/orders/*",
     idempotent: false,
     tier: "urgent",
@@ -30,9 +30,9 @@
 });
 
 t.test("an unlisted call is idempotent only if its method is safe", (t) => {
-  t.ok(index.routeOf(orders, "GET", "/x").idempotent);
+  t.ok(index.matchRoute(orders, "GET", "/x").idempotent);
   for (const method of ["POST", "PUT", "DELETE", "PATCH"]) {
-    t.notOk(index.routeOf(orders, method, "/x").idempotent);
+    t.notOk(index.matchRoute(orders, method, "/x").idempotent);
   }
   t.end();
 });
@@ -40,14 +40,18 @@
 t.test("an organisation gets the tiers it may ask for", (t) => {
   const given = "urgent";
   const tierOf = (asked?: string) =>
-    index.tierOf({ organisation: cafe, given, ...(asked && { asked }) });
+    index.resolveTier({
+      organisation: cafe,
+      defaultTier: given,
+      ...(asked && { requestedTier: asked }),
+    });
   t.match(tierOf(), { value: { name: "urgent" } });
   t.match(tierOf("batch"), { value: { name: "batch" } });
   t.match(tierOf("x"), { error: "unknown_tier" });
-  const refused = index.tierOf({
+  const refused = index.resolveTier({
     organisation: cafe,
-    given: "batch",
-    asked: "urgent",
+    defaultTier: "batch",
+    requestedTier: "urgent",
   });
   t.match(refused, { error: "tier_not_allowed" });
   t.end();
--- a/packages/configuration/test/publish_test.ts
+++ b/packages/configuration/test/publish_test.ts
@@ -43,7 +43,7 @@
   const text = EXAMPLE.replace('"rank": 1', '"rank": 0');
   const outcome = await publish(optionsFor(store, { text }));
   t.match(outcome, { error: { kind: "problems", problems: [{ line: 5 }] } });
-  t.equal(store.writes, 0);
+  t.equal(store.writesReceived, 0);
 });
 
 // Two operators edit the same file. Ana publishes; Bor, who read the file
@@ -90,7 +90,7 @@
     store.writeFaults.push(fault, fault);
     const outcome = await publish(optionsFor(store));
     t.match(outcome, { value: { unchanged: false } }, fault);
-    await store.deliver();
+    await store.deliverLateWrites();
     t.match(await publish(optionsFor(store)), {
       value: { unchanged: true, snapshot: { publishId: "first" } },
     }, "the same publish again changes nothing");
--- a/packages/daemon/src/common/shutdown_wait.ts
+++ b/packages/daemon/src/common/completes_within.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 
 /** Resolves when `work` does, or after `limit` milliseconds; true if `work` did. */
-export async function within(
+export async function completesWithin(
   work: Promise<unknown>,
   limit: number,
 ): Promise<boolean> {
--- a/packages/daemon/src/common/configuration_keeper.ts
+++ b/packages/daemon/src/common/configuration_sync.ts
@@ -18,8 +18,8 @@
 /** Milliseconds until another peer is asked in place of one that is silent. */
 const ASK_AGAIN_AFTER = 2000;
 
-/** Options of {@link ConfigurationKeeper}. */
-export type ConfigurationKeeperOptions = {
+/** Options of {@link ConfigurationSync}. */
+export type ConfigurationSyncOptions = {
   store: KeyValueStore;
   fleetSize: number;
   random: () => number;
@@ -28,14 +28,14 @@
 };
 
 /** Follows the published set; answers and asks peers about it. */
-export class ConfigurationKeeper {
+export class ConfigurationSync {
   readonly #follower: ConfigurationFollower;
-  readonly #options: ConfigurationKeeperOptions;
+  readonly #options: ConfigurationSyncOptions;
   #index: ConfigurationIndex | undefined;
   /** A peer was asked then and has not answered. */
   #askedAt = -Infinity;
 
-  constructor(options: ConfigurationKeeperOptions) {
+  constructor(options: ConfigurationSyncOptions) {
     this.#options = options;
     this.#follower = new ConfigurationFollower({
       store: options.store,
@@ -69,7 +69,11 @@
    * A peer said at `now`, in milliseconds, what it has in force. A newer set is
    * asked for, of one peer at a time: many have it at once, and it is large.
    */
-  peerHas(peer: ConfigurationPeer, revision: number, now: number): void {
+  recordPeerRevision(
+    peer: ConfigurationPeer,
+    revision: number,
+    now: number,
+  ): void {
     if (revision <= this.revision) return;
     if (now - this.#askedAt < ASK_AGAIN_AFTER) return;
     this.#askedAt = now;
@@ -77,17 +81,17 @@
   }
 
   /** Answers a peer's question, or takes in its answer. */
-  onMessage(peer: ConfigurationPeer, message: Message): void {
+  handleMessage(peer: ConfigurationPeer, message: Message): void {
     if (message.type === "pullConfiguration") {
       this.#answer(peer, message.revision);
     } else if (message.type === "configuration") {
       this.#askedAt = -Infinity;
-      this.#follower.offer(message.text);
+      this.#follower.receiveManifest(message.text);
     }
   }
 
   #answer(peer: ConfigurationPeer, revision: number): void {
-    const snapshot = this.#follower.inForce;
+    const snapshot = this.#follower.activeSnapshot;
     if (!snapshot || snapshot.revision <= revision) return;
     const { text } = snapshot;
     peer.send({ type: "configuration", revision: snapshot.revision, text });
--- a/packages/daemon/src/common/identity.ts
+++ b/packages/daemon/src/common/identity.ts
@@ -1,7 +1,7 @@
 /** Who this process is, as it tells its peers. @module */
 import { randomUUID } from "node:crypto";
 import { PROTOCOL_VERSION } from "@sycamorepulley/protocol";
-import type { Hello } from "@sycamorepulley/protocol";
+import type { HelloMessage } from "@sycamorepulley/protocol";
 import type { Settings } from "./settings.ts";
 
 /**
@@ -14,7 +14,7 @@
 export function helloOf(
   settings: Settings,
   state: { configurationRevision: number; leaving: boolean },
-): Hello {
+): HelloMessage {
   const { role, instance, dataCentre } = settings;
   return {
     type: "hello",
--- a/packages/daemon/src/common/membership.ts
+++ b/packages/daemon/src/common/membership.ts
@@ -36,7 +36,7 @@
     this.#self = options.self;
   }
 
-  /** Registers and reads until {@link leave}. */
+  /** Registers and reads until {@link deregister}. */
   async run(): Promise<void> {
     const { signal } = this.#stop;
     while (!signal.aborted) {
@@ -48,13 +48,13 @@
   }
 
   /** States that this process takes no new work. */
-  async leaving(): Promise<void> {
+  async announceDraining(): Promise<void> {
     this.#self = { ...this.#self, leaving: true };
     await this.#register();
   }
 
   /** Takes the process off the list. */
-  async leave(): Promise<void> {
+  async deregister(): Promise<void> {
     this.#stop.abort();
     await this.#options.list.deregister(this.#self.name);
   }
--- a/packages/daemon/src/common/metrics.ts
+++ b/packages/daemon/src/common/metrics.ts
@@ -42,7 +42,7 @@
     "service",
     "outcome",
   ]);
-  readonly ignored = this.#counter(
+  readonly ignoredMessages = this.#counter(
     "messages_ignored_total",
     "Messages for a reservation that is unknown or over",
     ["type"],
--- a/packages/daemon/src/common/process_parts.ts
+++ b/packages/daemon/src/common/process_components.ts
@@ -6,9 +6,9 @@
   HttpKeyValueStore,
 } from "@sycamorepulley/store";
 import { ProcessLifecycle } from "@sycamorepulley/decisions";
-import type { Hello } from "@sycamorepulley/protocol";
+import type { HelloMessage } from "@sycamorepulley/protocol";
 import { monotonicNow } from "./clock.ts";
-import { ConfigurationKeeper } from "./configuration_keeper.ts";
+import { ConfigurationSync } from "./configuration_sync.ts";
 import { helloOf } from "./identity.ts";
 import { createLog } from "./log.ts";
 import type { Log } from "./log.ts";
@@ -17,21 +17,21 @@
 import type { Settings } from "./settings.ts";
 
 /** Parts that outlive every request and link of the process. */
-export type ProcessParts = {
+export type ProcessComponents = {
   metrics: Metrics;
   log: Log;
   lifecycle: ProcessLifecycle;
   keyValueStore: HttpKeyValueStore;
   instanceList: HttpInstanceList;
-  configuration: ConfigurationKeeper;
+  configuration: ConfigurationSync;
   startedAt: number;
   random: () => number;
   /** As the process stands now. */
-  hello: () => Hello;
+  createHello: () => HelloMessage;
 };
 
 /** Builds the parts; starts nothing. */
-export function createParts(settings: Settings): ProcessParts {
+export function createComponents(settings: Settings): ProcessComponents {
   const { platform } = settings;
   const metrics = new Metrics();
   const log = createLog(settings);
@@ -43,7 +43,7 @@
   });
   const instanceList = new HttpInstanceList({ url: platform.instanceList });
   const random = createRandom();
-  const configuration = new ConfigurationKeeper({
+  const configuration = new ConfigurationSync({
     store: keyValueStore,
     fleetSize: platform.fleetSize,
     random,
@@ -59,7 +59,7 @@
     configuration,
     startedAt: monotonicNow(),
     random,
-    hello: () =>
+    createHello: () =>
       helloOf(settings, {
         configurationRevision: configuration.revision,
         leaving: lifecycle.state === "leaving",
--- a/packages/daemon/src/common/protocol_server.ts
+++ b/packages/daemon/src/common/protocol_server.ts
@@ -2,7 +2,11 @@
 import { createServer } from "node:net";
 import type { Socket } from "node:net";
 import { acceptLink } from "@sycamorepulley/protocol";
-import type { Hello, LinkError, OpenLink } from "@sycamorepulley/protocol";
+import type {
+  EstablishedLink,
+  HelloMessage,
+  LinkError,
+} from "@sycamorepulley/protocol";
 import { listen } from "./listen.ts";
 import type { Log } from "./log.ts";
 import type { Metrics } from "./metrics.ts";
@@ -13,11 +17,11 @@
 /** Options of {@link startProtocolServer}. */
 export type ProtocolServerOptions = {
   address: Address;
-  hello: () => Hello;
+  createHello: () => HelloMessage;
   /** Most links at a time; more are closed at once. */
-  links: number;
+  maxLinks: number;
   /** Resolves when the link has ended, with the error that ended it. */
-  serve: (open: OpenLink) => Promise<LinkError | undefined>;
+  serveLink: (open: EstablishedLink) => Promise<LinkError | undefined>;
   metrics: Metrics;
   log: Log;
 };
@@ -31,7 +35,7 @@
 ): Promise<ProtocolServer> {
   let links = 0;
   const server = createServer(async (socket) => {
-    if (links >= options.links) {
+    if (links >= options.maxLinks) {
       options.metrics.linkErrors.inc({ step: "accept", reason: "too_many" });
       socket.destroy();
       return;
@@ -50,7 +54,7 @@
   socket: Socket,
   options: ProtocolServerOptions,
 ): Promise<void> {
-  const { hello, serve, metrics, log } = options;
+  const { createHello: hello, serveLink: serve, metrics, log } = options;
   const accepted = await acceptLink({
     socket,
     hello: hello(),
--- a/packages/daemon/src/common/status_server.ts
+++ b/packages/daemon/src/common/status_server.ts
@@ -13,8 +13,8 @@
   address: Address;
   metrics: Metrics;
   /** Whether the process takes new work. */
-  ready: () => boolean;
-  status: () => Promise<Status>;
+  isReady: () => boolean;
+  getStatus: () => Promise<Status>;
 };
 
 /** A started server and the port it got. */
@@ -24,7 +24,7 @@
 export async function startStatusServer(
   options: StatusServerOptions,
 ): Promise<StatusServer> {
-  const { address, metrics, ready, status } = options;
+  const { address, metrics, isReady: ready, getStatus: status } = options;
   const application = polka()
     .get("/healthz", (_request, response) => {
       response.end("ok\n");
--- a/packages/daemon/src/entry/answer_sink.ts
+++ b/packages/daemon/src/entry/answer_sink.ts
@@ -1,10 +1,10 @@
 /** Where a request's answer goes. @module */
-import type { Headers } from "@sycamorepulley/protocol";
+import type { HttpHeaders } from "@sycamorepulley/protocol";
 import type { Refusal } from "./refusal.ts";
 
 /** Takes one answer: a head, chunks and an end; or one refusal; or a cut. */
 export abstract class AnswerSink {
-  abstract head(status: number, headers: Headers): void;
+  abstract head(status: number, headers: HttpHeaders): void;
   /** Resolves once more may be written. */
   abstract write(bytes: Uint8Array): Promise<void>;
   abstract end(): void;
--- a/packages/daemon/src/entry/directory_listener.ts
+++ b/packages/daemon/src/entry/directory_listener.ts
@@ -1,7 +1,7 @@
 /** Feeds what sidecars say into the decisions of their service. @module */
 import type {
-  Crashed,
-  Hello,
+  CrashedMessage,
+  HelloMessage,
   LinkError,
   Message,
 } from "@sycamorepulley/protocol";
@@ -25,7 +25,7 @@
     this.#options = options;
   }
 
-  override onOpen(session: SidecarSession, hello: Hello): void {
+  override onOpen(session: SidecarSession, hello: HelloMessage): void {
     this.#directory.linkOpened();
     this.#options.log.info("link opened", { sidecar: session.name });
     this.#options.onPeerRevision(session, hello.configurationRevision);
@@ -83,13 +83,13 @@
   }
 
   override onIgnored(type: Message["type"]): void {
-    this.#options.metrics.ignored.inc({ type });
+    this.#options.metrics.ignoredMessages.inc({ type });
   }
 
   /** What ran as a server died is told to the service's other sidecars. */
   #learnCrash(
     session: SidecarSession,
-    crash: Crashed,
+    crash: CrashedMessage,
     now: number,
   ): void {
     const service = this.#directory.serviceOf(session.name);
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -4,16 +4,16 @@
   CostEstimator,
   WaitingRequestLimiter,
 } from "@sycamorepulley/decisions";
-import { claimCommitOptions, ClaimLedger } from "@sycamorepulley/store";
+import { claimCommitBudgetOptions, ClaimLedger } from "@sycamorepulley/store";
 import type { Instance, Status } from "@sycamorepulley/store";
 import type { Message } from "@sycamorepulley/protocol";
-import type { ConfigurationPeer } from "../common/configuration_keeper.ts";
-import { EntryMoves } from "../moves/entry_moves.ts";
+import type { ConfigurationPeer } from "../common/configuration_sync.ts";
+import { MoveController } from "../moves/move_controller.ts";
 import type { DriverAddress } from "../moves/move_driver.ts";
 import { monotonicNow, wallNow } from "../common/clock.ts";
 import { incarnation } from "../common/identity.ts";
 import { sumByLabel } from "../common/metrics.ts";
-import type { ProcessParts } from "../common/process_parts.ts";
+import type { ProcessComponents } from "../common/process_components.ts";
 import type { EntrySettings } from "../common/settings.ts";
 import { HttpAnswerSink } from "./http_answer_sink.ts";
 import { serveKeyed } from "./keyed_request.ts";
@@ -35,9 +35,9 @@
 
 /** Serves callers with one task for each request. */
 export class Entry {
-  readonly moves: EntryMoves;
+  readonly moves: MoveController;
   readonly #settings: EntrySettings;
-  readonly #parts: ProcessParts;
+  readonly #parts: ProcessComponents;
   readonly #desks = new Map<string, ServiceDesk>();
   readonly #regions = new Map<string, string>();
   readonly #estimator = new CostEstimator();
@@ -51,7 +51,7 @@
   #protocolPort = 0;
   #idle: (() => void) | undefined;
 
-  constructor(options: { settings: EntrySettings; parts: ProcessParts }) {
+  constructor(options: { settings: EntrySettings; parts: ProcessComponents }) {
     const { settings, parts } = options;
     this.#settings = settings;
     this.#parts = parts;
@@ -60,31 +60,36 @@
       store: parts.keyValueStore,
       incarnation,
       retention: (service) => this.#retention(service),
-      commits: claimCommitOptions(settings.platform.fleetSize),
+      commitBudget: claimCommitBudgetOptions(settings.platform.fleetSize),
       random: parts.random,
       clock: monotonicNow,
       wallClock: wallNow,
     });
     const desk = (service: string) => this.#desk(service);
     this.#directory = new SidecarDirectory({
-      hello: parts.hello,
+      hello: parts.createHello,
       desk,
       links: settings.bounds.links,
       random: parts.random,
       metrics: parts.metrics,
       log: parts.log,
       onPeerRevision: (session, revision) =>
-        parts.configuration.peerHas(session, revision, monotonicNow()),
+        parts.configuration.recordPeerRevision(
+          session,
+          revision,
+          monotonicNow(),
+        ),
       onOtherMessage: (session, message) => this.hear(session, message),
     });
-    this.moves = new EntryMoves({
+    this.moves = new MoveController({
       store: parts.keyValueStore,
       index: () => parts.configuration.index,
-      self: () => this.#address(),
-      hello: parts.hello,
-      entries: () => this.#entries,
-      room: (service, version) => this.#desk(service).room.room(version),
-      spread: (service, text) => this.#spread(service, text),
+      ownAddress: () => this.#address(),
+      createHello: parts.createHello,
+      entryCount: () => this.#entries,
+      capacityShare: (service, version) =>
+        this.#desk(service).room.capacityShare(version),
+      distributeRecord: (service, text) => this.#spread(service, text),
       random: parts.random,
       log: parts.log,
     });
@@ -119,10 +124,10 @@
 
   /** Messages about the configuration and moves, from any peer. */
   hear(peer: ConfigurationPeer, message: Message): void {
-    if (message.type === "moveRecord") this.moves.offerRecord(message.text);
+    if (message.type === "moveRecord") this.moves.receiveRecord(message.text);
     else if (message.type === "evidence") {
-      this.moves.offerEvidence(message.move, message.evidence);
-    } else this.#parts.configuration.onMessage(peer, message);
+      this.moves.receiveEvidence(message.move, message.evidence);
+    } else this.#parts.configuration.handleMessage(peer, message);
   }
 
   /** The port that the entry's own protocol got. */
@@ -151,7 +156,7 @@
   }
 
   async close(): Promise<void> {
-    await this.#ledger.drained();
+    await this.#ledger.waitForDrain();
     await this.#directory.close();
   }
 
--- a/packages/daemon/src/entry/http_answer_sink.ts
+++ b/packages/daemon/src/entry/http_answer_sink.ts
@@ -1,6 +1,6 @@
 /** A caller's HTTP response. @module */
 import type { ServerResponse } from "node:http";
-import type { Headers } from "@sycamorepulley/protocol";
+import type { HttpHeaders } from "@sycamorepulley/protocol";
 import { AnswerSink } from "./answer_sink.ts";
 import { problemDocument } from "./refusal.ts";
 import type { Refusal } from "./refusal.ts";
@@ -15,7 +15,7 @@
     this.#response = response;
   }
 
-  override head(status: number, headers: Headers): void {
+  override head(status: number, headers: HttpHeaders): void {
     const type = String(headers["content-type"] ?? "");
     this.#eventStream = type.startsWith("text/event-stream");
     this.#response.writeHead(status, headers);
--- a/packages/daemon/src/entry/keyed_request.ts
+++ b/packages/daemon/src/entry/keyed_request.ts
@@ -9,8 +9,12 @@
  * dispatched, and "not run" is true.
  * @module
  */
-import { MAXIMUM_BODY_BYTES } from "@sycamorepulley/store";
-import type { ClaimLedger, HeldClaim, Outcome } from "@sycamorepulley/store";
+import { MAXIMUM_RECORDED_BODY_BYTES } from "@sycamorepulley/store";
+import type {
+  ClaimLedger,
+  HeldClaim,
+  RecordedResponse,
+} from "@sycamorepulley/store";
 import { wallNow } from "../common/clock.ts";
 import type { AnswerSink } from "./answer_sink.ts";
 import { RecordingSink } from "./recording_sink.ts";
@@ -73,7 +77,7 @@
   const { ledger, sink, run } = options;
   const recording = new RecordingSink({
     target: sink,
-    bound: MAXIMUM_BODY_BYTES,
+    bound: MAXIMUM_RECORDED_BODY_BYTES,
   });
   const outcome = await run(recording);
   if (outcome.kind === "answered") {
@@ -94,7 +98,7 @@
 
 async function replay(
   sink: AnswerSink,
-  outcome: Outcome,
+  outcome: RecordedResponse,
 ): Promise<RequestOutcome> {
   const { status, headers, body } = outcome;
   if (body === undefined) return refuse(sink, outcomeNotKept());
--- a/packages/daemon/src/entry/peer_connection.ts
+++ b/packages/daemon/src/entry/peer_connection.ts
@@ -4,15 +4,15 @@
  * @module
  */
 import { LinkError } from "@sycamorepulley/protocol";
-import type { Message, OpenLink } from "@sycamorepulley/protocol";
+import type { EstablishedLink, Message } from "@sycamorepulley/protocol";
 import { monotonicNow } from "../common/clock.ts";
-import type { ConfigurationKeeper } from "../common/configuration_keeper.ts";
+import type { ConfigurationSync } from "../common/configuration_sync.ts";
 
 /** Hears one peer for as long as its link lasts. */
 export class PeerConnection {
-  readonly #open: OpenLink;
+  readonly #open: EstablishedLink;
 
-  constructor(open: OpenLink) {
+  constructor(open: EstablishedLink) {
     this.#open = open;
   }
 
@@ -22,11 +22,15 @@
 
   /** Runs until the link ends; the error that ended it, if any. */
   async run(
-    configuration: ConfigurationKeeper,
+    configuration: ConfigurationSync,
     hear: (peer: PeerConnection, message: Message) => void,
   ): Promise<LinkError | undefined> {
     const { configurationRevision } = this.#open.peerHello;
-    configuration.peerHas(this, configurationRevision, monotonicNow());
+    configuration.recordPeerRevision(
+      this,
+      configurationRevision,
+      monotonicNow(),
+    );
     try {
       for await (const message of this.#open.messages) {
         hear(this, message);
--- a/packages/daemon/src/entry/placement_task.ts
+++ b/packages/daemon/src/entry/placement_task.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { ReservationPlan } from "@sycamorepulley/decisions";
-import type { HandOver, Reserve } from "@sycamorepulley/protocol";
+import type { HandOverMessage, ReserveMessage } from "@sycamorepulley/protocol";
 import { monotonicNow } from "../common/clock.ts";
 import type { Metrics } from "../common/metrics.ts";
 import type { Mailbox } from "./mailbox.ts";
@@ -214,7 +214,7 @@
     session.reserve(this.#reserveMessage(now), mailbox);
   }
 
-  #reserveMessage(now: number): Reserve {
+  #reserveMessage(now: number): ReserveMessage {
     const { number, request } = this.#options;
     return {
       type: "reserve",
@@ -234,7 +234,7 @@
     };
   }
 
-  #handOverMessage(grant: number): HandOver {
+  #handOverMessage(grant: number): HandOverMessage {
     const { number, request } = this.#options;
     return {
       type: "handOver",
--- a/packages/daemon/src/entry/recording_sink.ts
+++ b/packages/daemon/src/entry/recording_sink.ts
@@ -1,6 +1,6 @@
 /** Keeps a copy of an answer on its way to the caller. @module */
-import type { Outcome } from "@sycamorepulley/store";
-import type { Headers } from "@sycamorepulley/protocol";
+import type { RecordedResponse } from "@sycamorepulley/store";
+import type { HttpHeaders } from "@sycamorepulley/protocol";
 import { AnswerSink } from "./answer_sink.ts";
 import type { Refusal } from "./refusal.ts";
 
@@ -9,7 +9,7 @@
   readonly #target: AnswerSink;
   readonly #bound: number;
   #status = 0;
-  #headers: Headers = {};
+  #headers: HttpHeaders = {};
   #parts: Uint8Array[] = [];
   #length = 0;
   #detached = false;
@@ -21,7 +21,7 @@
   }
 
   /** The answer so far; without its body where that is longer than kept. */
-  get outcome(): Outcome {
+  get outcome(): RecordedResponse {
     const fits = this.#length <= this.#bound;
     return {
       status: this.#status,
@@ -30,7 +30,7 @@
     };
   }
 
-  override head(status: number, headers: Headers): void {
+  override head(status: number, headers: HttpHeaders): void {
     this.#status = status;
     this.#headers = headers;
     if (!this.#detached) this.#target.head(status, headers);
@@ -58,7 +58,7 @@
   }
 }
 
-function joined(headers: Headers): Record<string, string> {
+function joined(headers: HttpHeaders): Record<string, string> {
   return Object.fromEntries(
     Object.entries(headers).map(([name, value]) => [
       name,
--- a/packages/daemon/src/entry/refusal.ts
+++ b/packages/daemon/src/entry/refusal.ts
@@ -1,5 +1,5 @@
 /** Final answers to requests that were not served. @module */
-import type { Ran } from "@sycamorepulley/protocol";
+import type { ExecutionStatus } from "@sycamorepulley/protocol";
 
 /** HTTP status of each reason; the reasons are part of the interface. */
 export const REFUSAL_STATUS = {
@@ -49,7 +49,7 @@
 /** `retryAfter` in milliseconds, absent where coming back does not help. */
 export type Refusal = {
   reason: RefusalReason;
-  ran: Ran;
+  ran: ExecutionStatus;
   detail: string;
   retryAfter?: number | undefined;
 };
--- a/packages/daemon/src/entry/request_event.ts
+++ b/packages/daemon/src/entry/request_event.ts
@@ -1,5 +1,9 @@
 /** What a request's task is told while it waits and while it is answered. @module */
-import type { Failed, Headers, RefusalReason } from "@sycamorepulley/protocol";
+import type {
+  FailedMessage,
+  HttpHeaders,
+  SidecarRefusalReason,
+} from "@sycamorepulley/protocol";
 
 /** `sidecar` names the instance that the event came from. */
 export type RequestEvent =
@@ -9,18 +13,18 @@
     | {
       kind: "refuse";
       sidecar: string;
-      reason: RefusalReason;
+      reason: SidecarRefusalReason;
       retryAfter?: number | undefined;
     }
     | { kind: "linkLost"; sidecar: string }
-    | { kind: "head"; sidecar: string; status: number; headers: Headers }
+    | { kind: "head"; sidecar: string; status: number; headers: HttpHeaders }
     | { kind: "chunk"; sidecar: string; sequence: number; bytes: Uint8Array }
     | { kind: "end"; sidecar: string; chunks: number; length: number }
     | {
       kind: "failed";
       sidecar: string;
-      ran: Failed["ran"];
-      reason: Failed["reason"];
+      ran: FailedMessage["ran"];
+      reason: FailedMessage["reason"];
     }
     | { kind: "callerLeft" }
     /** A higher tier's request took its place at the entry. */
--- a/packages/daemon/src/entry/request_surroundings.ts
+++ b/packages/daemon/src/entry/request_surroundings.ts
@@ -1,7 +1,7 @@
 /** What request tasks share, and how they end. @module */
 import type { WaitingRequestLimiter } from "@sycamorepulley/decisions";
 import type { Metrics } from "../common/metrics.ts";
-import type { EntryMoves } from "../moves/entry_moves.ts";
+import type { MoveController } from "../moves/move_controller.ts";
 import type { Refusal } from "./refusal.ts";
 import type { ResolvedRequest } from "./resolved_request.ts";
 import type { ServiceDesk } from "./service_desk.ts";
@@ -24,7 +24,10 @@
 };
 
 /** Gives each request its version and hears what became of it. */
-export type VersionChooser = Pick<EntryMoves, "choose" | "ended" | "notRun">;
+export type VersionChooser = Pick<
+  MoveController,
+  "chooseVersion" | "recordCall" | "recordNotRun"
+>;
 
 /** How a request ended; the reason says why it was not answered whole. */
 export type RequestOutcome =
--- a/packages/daemon/src/entry/request_task.ts
+++ b/packages/daemon/src/entry/request_task.ts
@@ -13,7 +13,7 @@
 import { AnswerRelay } from "./relay_answer.ts";
 import type { AnswerOutcome } from "./relay_answer.ts";
 import type { RequestEvent } from "./request_event.ts";
-import type { MoveChoice } from "../moves/service_move.ts";
+import type { VersionChoice } from "../moves/service_move.ts";
 import type {
   RequestOutcome,
   RequestSurroundings,
@@ -42,7 +42,7 @@
   readonly #surroundings: RequestSurroundings;
   readonly #lifecycle = new RequestLifecycle();
   readonly #mailbox = new Mailbox<RequestEvent>();
-  #choice: MoveChoice | { version: string | undefined } = {
+  #choice: VersionChoice | { version: string | undefined } = {
     version: undefined,
   };
   #handedOverAt: number | undefined;
@@ -69,7 +69,7 @@
   async run(sink: AnswerSink): Promise<RequestOutcome> {
     this.#sink = sink;
     const { moves } = this.#surroundings;
-    this.#choice = moves.choose(this.#request.service.name);
+    this.#choice = moves.chooseVersion(this.#request.service.name);
     const outcome = await this.#serve();
     this.#reportToMove(outcome);
     return outcome;
@@ -146,7 +146,7 @@
     if (monotonicNow() >= this.#request.deadline) return outcome;
     // The new version's servers are full, stopped or not there yet; the caller
     // must not be the one to find that out.
-    this.#surroundings.moves.notRun(choice as MoveChoice);
+    this.#surroundings.moves.recordNotRun(choice as VersionChoice);
     this.#choice = { version: fallback };
     return await this.#placeOn(fallback);
   }
@@ -269,8 +269,8 @@
     const judged = outcome.kind === "answered" ||
       (outcome.kind === "refused" && outcome.refusal.ran !== "no" &&
         outcome.refusal.reason !== "caller_too_slow");
-    if (!judged) return moves.notRun(choice);
-    moves.ended(choice, {
+    if (!judged) return moves.recordNotRun(choice);
+    moves.recordCall(choice, {
       route: this.#request.route,
       failed: outcome.kind !== "answered" || outcome.status >= 500,
       slowness: this.#slowness(),
--- a/packages/daemon/src/entry/resolve_request.ts
+++ b/packages/daemon/src/entry/resolve_request.ts
@@ -87,7 +87,7 @@
   const token = /^bearer +(\S+)$/i.exec(authorization)?.[1];
   const organisation = token === undefined
     ? undefined
-    : index.organisationOfCredential(token);
+    : index.organisationOfToken(token);
   if (organisation) return Result.ok(organisation);
   return Result.err(
     rejected(
@@ -180,12 +180,12 @@
 ): Result<ResolvedRequest, Refusal> {
   const { raw, index, organisation, target, now } = options;
   const pathname = target.path.split("?")[0] ?? "";
-  const treatment = index.routeOf(target.service, raw.method, pathname);
+  const treatment = index.matchRoute(target.service, raw.method, pathname);
   const asked = headerValue(raw.headers, TIER_HEADER);
-  const tier = index.tierOf({
+  const tier = index.resolveTier({
     organisation,
-    given: treatment.tier,
-    ...(asked === undefined ? {} : { asked }),
+    defaultTier: treatment.tier,
+    ...(asked === undefined ? {} : { requestedTier: asked }),
   }).mapErr((reason) =>
     rejected(reason, `the tier ${asked ?? treatment.tier} can't be had`)
   );
--- a/packages/daemon/src/entry/resolved_request.ts
+++ b/packages/daemon/src/entry/resolved_request.ts
@@ -1,6 +1,6 @@
 /** A caller's request once its names have been looked up. @module */
 import type { Service } from "@sycamorepulley/configuration";
-import type { Cost, Headers } from "@sycamorepulley/protocol";
+import type { Cost, HttpHeaders } from "@sycamorepulley/protocol";
 
 /** All that scheduling and dispatch need; times in milliseconds. */
 export type ResolvedRequest = {
@@ -22,7 +22,7 @@
   fingerprint: string;
   method: string;
   path: string;
-  headers: Headers;
+  headers: HttpHeaders;
   body: Uint8Array;
   maximumOutputTokens?: number | undefined;
 };
--- a/packages/daemon/src/entry/service_desk.ts
+++ b/packages/daemon/src/entry/service_desk.ts
@@ -10,7 +10,7 @@
   OutlierEjection,
   RetryBudget,
 } from "@sycamorepulley/decisions";
-import { VersionRoom } from "../moves/version_room.ts";
+import { VersionCapacity } from "../moves/version_capacity.ts";
 
 /** Decisions' state for one service at one entry. */
 export class ServiceDesk {
@@ -18,7 +18,7 @@
   readonly ejection = new OutlierEjection();
   readonly retryBudget = new RetryBudget();
   readonly suspects = new CrashSuspects();
-  readonly room = new VersionRoom();
+  readonly room = new VersionCapacity();
   readonly servers: BackendServerSet;
 
   constructor(
--- a/packages/daemon/src/entry/sidecar_directory.ts
+++ b/packages/daemon/src/entry/sidecar_directory.ts
@@ -8,7 +8,7 @@
  * @module
  */
 import type { Instance } from "@sycamorepulley/store";
-import type { Hello, Message } from "@sycamorepulley/protocol";
+import type { HelloMessage, Message } from "@sycamorepulley/protocol";
 import { monotonicNow } from "../common/clock.ts";
 import type { Log } from "../common/log.ts";
 import type { Metrics } from "../common/metrics.ts";
@@ -20,7 +20,7 @@
 
 /** Options of {@link SidecarDirectory}. */
 export type SidecarDirectoryOptions = {
-  hello: () => Hello;
+  hello: () => HelloMessage;
   desk: (service: string) => ServiceDesk;
   /** Most links that are kept open at a time. */
   links: number;
--- a/packages/daemon/src/entry/sidecar_session.ts
+++ b/packages/daemon/src/entry/sidecar_session.ts
@@ -6,12 +6,12 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { LinkError, openLink } from "@sycamorepulley/protocol";
 import type {
-  HandOver,
-  Hello,
+  EstablishedLink,
+  HandOverMessage,
+  HelloMessage,
   Link,
   Message,
-  OpenLink,
-  Reserve,
+  ReserveMessage,
 } from "@sycamorepulley/protocol";
 import { monotonicNow } from "../common/clock.ts";
 import type { Mailbox } from "./mailbox.ts";
@@ -29,7 +29,7 @@
 
 /** What the session's owner does with what is not one request's. */
 export abstract class SessionListener {
-  abstract onOpen(session: SidecarSession, hello: Hello): void;
+  abstract onOpen(session: SidecarSession, hello: HelloMessage): void;
   abstract onMessage(session: SidecarSession, message: Message): void;
   abstract onClosed(
     session: SidecarSession,
@@ -43,7 +43,7 @@
   name: string;
   host: string;
   port: number;
-  hello: () => Hello;
+  hello: () => HelloMessage;
   listener: SessionListener;
   random: () => number;
 };
@@ -98,7 +98,7 @@
     }
   }
 
-  reserve(message: Reserve, mailbox: Mailbox<RequestEvent>): void {
+  reserve(message: ReserveMessage, mailbox: Mailbox<RequestEvent>): void {
     this.#requests.set(message.reservation, mailbox);
     this.send(message);
   }
@@ -110,7 +110,7 @@
   }
 
   /** The one dispatch. False when the link is gone: then nothing was sent. */
-  handOver(message: HandOver): boolean {
+  handOver(message: HandOverMessage): boolean {
     if (!this.#link || this.#link.closed) return false;
     this.#link.send(message);
     return true;
@@ -137,7 +137,7 @@
     this.#link?.end();
   }
 
-  async #read(open: OpenLink): Promise<LinkError | undefined> {
+  async #read(open: EstablishedLink): Promise<LinkError | undefined> {
     const { listener } = this.#options;
     this.#link = open.link;
     this.#heardAt = monotonicNow();
--- a/packages/daemon/src/entry/start_entry.ts
+++ b/packages/daemon/src/entry/start_entry.ts
@@ -1,11 +1,11 @@
 /** Builds and starts the entry role. @module */
 import { setTimeout as sleep } from "node:timers/promises";
 import { Membership } from "../common/membership.ts";
-import { createParts } from "../common/process_parts.ts";
+import { createComponents } from "../common/process_components.ts";
 import { startProtocolServer } from "../common/protocol_server.ts";
 import type { RunningDaemon } from "../common/running_daemon.ts";
 import type { EntrySettings } from "../common/settings.ts";
-import { within } from "../common/shutdown_wait.ts";
+import { completesWithin } from "../common/completes_within.ts";
 import { startStatusServer } from "../common/status_server.ts";
 import { Entry } from "./entry.ts";
 import { startHttpFront } from "./http_front.ts";
@@ -15,15 +15,15 @@
 export async function startEntry(
   settings: EntrySettings,
 ): Promise<RunningDaemon> {
-  const parts = createParts(settings);
+  const parts = createComponents(settings);
   const { metrics, log, lifecycle, configuration, random } = parts;
   const following = new AbortController();
   const entry = new Entry({ settings, parts });
   const protocol = await startProtocolServer({
     address: settings.protocol,
-    hello: parts.hello,
-    links: settings.bounds.links,
-    serve: (open) =>
+    createHello: parts.createHello,
+    maxLinks: settings.bounds.links,
+    serveLink: (open) =>
       new PeerConnection(open).run(
         configuration,
         (peer, message) => entry.hear(peer, message),
@@ -34,8 +34,8 @@
   const status = await startStatusServer({
     address: settings.status,
     metrics,
-    ready: () => lifecycle.state === "ready" && entry.ready,
-    status: () => entry.status(),
+    isReady: () => lifecycle.state === "ready" && entry.ready,
+    getStatus: () => entry.status(),
   });
   const front = await startHttpFront({
     address: settings.http,
@@ -70,15 +70,15 @@
   const stop = async () => {
     if (!lifecycle.apply("stop")) return;
     log.info("leaving");
-    await membership.leaving();
+    await membership.announceDraining();
     // The balancer still sends while its list lags; those requests are served.
     await sleep(settings.shutdownLag);
-    const whole = await within(
+    const whole = await completesWithin(
       Promise.all([front.close(), entry.idle()]),
       settings.shutdownWait,
     );
     if (!whole) log.warn("requests still running at the end of the wait");
-    await membership.leave();
+    await membership.deregister();
     following.abort();
     await moving;
     await entry.close();
--- a/packages/daemon/src/moves/evidence_link.ts
+++ b/packages/daemon/src/moves/evidence_link.ts
@@ -1,7 +1,7 @@
 /** An entry's link to the driver of a move. @module */
 import * as v from "valibot";
 import { openLink } from "@sycamorepulley/protocol";
-import type { Hello, Link, Message } from "@sycamorepulley/protocol";
+import type { HelloMessage, Link, Message } from "@sycamorepulley/protocol";
 
 const OPEN_TIMEOUT = 1000;
 
@@ -13,11 +13,11 @@
 
 /** Opened on demand; opened again when the driver changes. */
 export class EvidenceLink {
-  readonly #hello: () => Hello;
+  readonly #hello: () => HelloMessage;
   #address = "";
   #link: Link | undefined;
 
-  constructor(hello: () => Hello) {
+  constructor(hello: () => HelloMessage) {
     this.#hello = hello;
   }
 
--- a/packages/daemon/src/moves/entry_moves.ts
+++ b/packages/daemon/src/moves/move_controller.ts
@@ -12,7 +12,7 @@
 import { MoveDriver } from "./move_driver.ts";
 import type { DriverAddress } from "./move_driver.ts";
 import { ServiceMove } from "./service_move.ts";
-import type { MoveChoice } from "./service_move.ts";
+import type { VersionChoice } from "./service_move.ts";
 import {
   decodeStoredMove,
   driverKey,
@@ -20,25 +20,25 @@
   moveKey,
 } from "./stored_move.ts";
 import type { StoredMove } from "./stored_move.ts";
-import type { Hello } from "@sycamorepulley/protocol";
+import type { HelloMessage } from "@sycamorepulley/protocol";
 
 /** Shortest time between two rounds, in milliseconds. */
 const LEAST_INTERVAL = 1000;
 /** Each entry of the fleet spaces the rounds by this much, in milliseconds. */
 const INTERVAL_PER_ENTRY = 10;
 
-/** Options of {@link EntryMoves}. */
-export type EntryMovesOptions = {
+/** Options of {@link MoveController}. */
+export type MoveControllerOptions = {
   store: KeyValueStore;
   index: () => ConfigurationIndex | undefined;
-  self: () => DriverAddress;
-  hello: () => Hello;
+  ownAddress: () => DriverAddress;
+  createHello: () => HelloMessage;
   /** Entries in the fleet, as far as listed. */
-  entries: () => number;
+  entryCount: () => number;
   /** Share of a service's requests that a version's servers can carry. */
-  room: (service: string, version: string) => number;
+  capacityShare: (service: string, version: string) => number;
   /** Hands a record on to the service's sidecars, for entries to come. */
-  spread: (service: string, text: string) => void;
+  distributeRecord: (service: string, text: string) => void;
   random: () => number;
   log: Log;
 };
@@ -46,49 +46,51 @@
 type Known = { view: ServiceMove; driver: MoveDriver };
 
 /** Chooses versions, gathers evidence, and drives where it holds the lease. */
-export class EntryMoves {
-  readonly #options: EntryMovesOptions;
+export class MoveController {
+  readonly #options: MoveControllerOptions;
   readonly #known = new Map<string, Known>();
   readonly #links = new Map<string, EvidenceLink>();
 
-  constructor(options: EntryMovesOptions) {
+  constructor(options: MoveControllerOptions) {
     this.#options = options;
   }
 
   /** The version for a service's next request; undefined: any. */
-  choose(service: string): MoveChoice | { version: string | undefined } {
+  chooseVersion(
+    service: string,
+  ): VersionChoice | { version: string | undefined } {
     const index = this.#options.index();
     const live = index?.liveVersion(service)?.name;
     const now = wallNow();
     for (const { view } of this.#known.values()) {
       if (view.move.service !== service || view.move.from !== live) continue;
       if (view.effectiveOutcome(now) === "takenBack") continue;
-      return view.choose(now, this.#options.entries());
+      return view.choose(now, this.#options.entryCount());
     }
     return { version: live };
   }
 
-  /** What became of a request whose version {@link choose} gave. */
-  ended(
-    choice: MoveChoice,
+  /** What became of a request whose version {@link chooseVersion} gave. */
+  recordCall(
+    choice: VersionChoice,
     call: { route: string; failed: boolean; slowness?: number | undefined },
   ): void {
     this.#known.get(choice.move)?.view.ended(choice.side, call);
   }
 
   /** The request of a choice did not run. */
-  notRun(choice: MoveChoice): void {
+  recordNotRun(choice: VersionChoice): void {
     this.#known.get(choice.move)?.view.notRun(choice.side);
   }
 
   /** A record that a peer holds. */
-  offerRecord(text: string): void {
+  receiveRecord(text: string): void {
     const stored = decodeStoredMove(text);
     if (stored) this.#adopt(stored);
   }
 
   /** Evidence that another entry sent because this one drives. */
-  offerEvidence(move: string, evidence: RouteEvidence[]): void {
+  receiveEvidence(move: string, evidence: RouteEvidence[]): void {
     this.#known.get(move)?.driver.observe(evidence);
   }
 
@@ -104,7 +106,7 @@
       for (const known of this.#known.values()) await this.#round(known);
       const interval = Math.max(
         LEAST_INTERVAL,
-        this.#options.entries() * INTERVAL_PER_ENTRY,
+        this.#options.entryCount() * INTERVAL_PER_ENTRY,
       );
       const pause = interval * (0.75 + this.#options.random() / 2);
       await sleep(pause, undefined, { signal }).catch(() => {});
@@ -127,7 +129,8 @@
   }
 
   #add(move: Move): void {
-    const { store, self, room, random, log } = this.#options;
+    const { store, ownAddress: self, capacityShare: room, random, log } =
+      this.#options;
     const firstRemainder = random();
     const view = new ServiceMove({ move, now: wallNow(), firstRemainder });
     const driver = new MoveDriver({
@@ -161,13 +164,14 @@
   async #follow(view: ServiceMove): Promise<void> {
     const found = await this.#options.store.get(moveKey(view.move.name));
     if (found.isErr || found.value === undefined) return;
-    this.offerRecord(found.value.value);
+    this.receiveRecord(found.value.value);
   }
 
   /** Sends own evidence to whoever drives. */
   async #report(move: string, evidence: RouteEvidence[]): Promise<void> {
     if (evidence.length === 0) return;
-    const link = this.#links.get(move) ?? new EvidenceLink(this.#options.hello);
+    const link = this.#links.get(move) ??
+      new EvidenceLink(this.#options.createHello);
     this.#links.set(move, link);
     const driver = await this.#options.store.get(driverKey(move));
     if (driver.isErr || driver.value === undefined) return;
@@ -177,6 +181,9 @@
   #adopt(stored: StoredMove): void {
     const view = this.#known.get(stored.record.move)?.view;
     if (!view?.adopt(stored)) return;
-    this.#options.spread(stored.record.service, encodeStoredMove(stored));
+    this.#options.distributeRecord(
+      stored.record.service,
+      encodeStoredMove(stored),
+    );
   }
 }
--- a/packages/daemon/src/moves/service_move.ts
+++ b/packages/daemon/src/moves/service_move.ts
@@ -22,7 +22,7 @@
 import type { StoredMove } from "./stored_move.ts";
 
 /** What one request on a move is charged to. */
-export type MoveChoice = {
+export type VersionChoice = {
   move: string;
   side: VersionSide;
   version: string;
@@ -64,7 +64,7 @@
   }
 
   /** The version of the next request; `now` is the wall clock. */
-  choose(now: number, entries: number): MoveChoice {
+  choose(now: number, entries: number): VersionChoice {
     const { record } = this.#stored;
     this.#split.setBounds({
       share: effectiveShare(record, now),
--- a/packages/daemon/src/moves/version_room.ts
+++ b/packages/daemon/src/moves/version_capacity.ts
@@ -1,13 +1,13 @@
 /** How much of a service's requests each version's servers can carry. @module */
-import type { Load } from "@sycamorepulley/protocol";
+import type { LoadMessage } from "@sycamorepulley/protocol";
 
-type ServerLoad = { version: string | undefined; load: Load };
+type ServerLoad = { version: string | undefined; load: LoadMessage };
 
 /** Newest load of each server that this entry has heard of. */
-export class VersionRoom {
+export class VersionCapacity {
   readonly #servers = new Map<string, ServerLoad>();
 
-  observe(name: string, version: string | undefined, load: Load): void {
+  observe(name: string, version: string | undefined, load: LoadMessage): void {
     this.#servers.set(name, { version, load });
   }
 
@@ -16,7 +16,7 @@
   }
 
   /** From 0, no server is there, to 1, it can carry all that there is now. */
-  room(version: string): number {
+  capacityShare(version: string): number {
     let limit = 0;
     let present = 0;
     for (const { version: own, load } of this.#servers.values()) {
--- a/packages/daemon/src/sidecar/backend_client.ts
+++ b/packages/daemon/src/sidecar/backend_client.ts
@@ -1,13 +1,17 @@
 /** The one way to the backend server, over HTTP by `undici`. @module */
 import { errors, Pool } from "undici";
 import type { Dispatcher } from "undici";
-import type { Failed, HandOver, Headers } from "@sycamorepulley/protocol";
+import type {
+  FailedMessage,
+  HandOverMessage,
+  HttpHeaders,
+} from "@sycamorepulley/protocol";
 import { endToEndHeaders } from "../common/end_to_end_headers.ts";
 import { meterFor } from "./answer_meter.ts";
 
 /** Takes the answer as it comes. */
 export abstract class AnswerReceiver {
-  abstract head(status: number, headers: Headers): void;
+  abstract head(status: number, headers: HttpHeaders): void;
   abstract chunk(bytes: Uint8Array, outputTokens: number): Promise<void>;
 }
 
@@ -16,8 +20,8 @@
   | { kind: "whole"; status: number }
   | {
     kind: "failed";
-    ran: Failed["ran"];
-    reason: Failed["reason"];
+    ran: FailedMessage["ran"];
+    reason: FailedMessage["reason"];
     cut: boolean;
   };
 
@@ -48,7 +52,7 @@
 
   /** Runs a request; never more than one attempt. */
   async run(
-    request: HandOver,
+    request: HandOverMessage,
     receiver: AnswerReceiver,
     signal: AbortSignal,
   ): Promise<RunOutcome> {
@@ -111,8 +115,8 @@
 }
 
 function failed(
-  ran: Failed["ran"],
-  reason: Failed["reason"],
+  ran: FailedMessage["ran"],
+  reason: FailedMessage["reason"],
 ): Extract<RunOutcome, { kind: "failed" }> {
   return { kind: "failed", ran, reason, cut: false };
 }
--- a/packages/daemon/src/sidecar/crash_reporter.ts
+++ b/packages/daemon/src/sidecar/crash_reporter.ts
@@ -4,7 +4,7 @@
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { CrashSuspects } from "@sycamorepulley/decisions";
-import type { Crashed } from "@sycamorepulley/protocol";
+import type { CrashedMessage } from "@sycamorepulley/protocol";
 import { monotonicNow } from "../common/clock.ts";
 import { CrashWatch } from "./crash_watch.ts";
 import type { HealthProbe } from "./health_probe.ts";
@@ -21,7 +21,7 @@
   suspects: CrashSuspects;
   probe: () => HealthProbe;
   /** To every entry that is connected. */
-  broadcast: (message: Crashed) => void;
+  broadcast: (message: CrashedMessage) => void;
 };
 
 /** Keeps the suspects of this sidecar's service up to date. */
@@ -49,13 +49,17 @@
     const fingerprints = this.#watch.died(now);
     if (fingerprints.length === 0) return;
     const backendServer = this.#options.instance;
-    const crash: Crashed = { type: "crashed", fingerprints, backendServer };
+    const crash: CrashedMessage = {
+      type: "crashed",
+      fingerprints,
+      backendServer,
+    };
     this.learn(crash);
     this.#options.broadcast(crash);
   }
 
   /** Takes in a crash here or at another server of the service. */
-  learn({ fingerprints, backendServer }: Crashed): void {
+  learn({ fingerprints, backendServer }: CrashedMessage): void {
     this.#options.suspects.recordCrash(
       fingerprints,
       backendServer,
--- a/packages/daemon/src/sidecar/entry_connection.ts
+++ b/packages/daemon/src/sidecar/entry_connection.ts
@@ -1,6 +1,10 @@
 /** One entry's connection to this sidecar: a task for as long as it lives. @module */
 import { LinkError } from "@sycamorepulley/protocol";
-import type { Load, Message, OpenLink } from "@sycamorepulley/protocol";
+import type {
+  EstablishedLink,
+  LoadMessage,
+  Message,
+} from "@sycamorepulley/protocol";
 
 /** Least time between two load messages on one link, in milliseconds. */
 const LOAD_INTERVAL = 100;
@@ -13,11 +17,11 @@
 
 /** Sends to one entry and names its reservations within this sidecar. */
 export class EntryConnection {
-  readonly #open: OpenLink;
+  readonly #open: EstablishedLink;
   readonly #name: string;
   #loadSentAt = Number.NEGATIVE_INFINITY;
 
-  constructor(options: { open: OpenLink; sequence: number }) {
+  constructor(options: { open: EstablishedLink; sequence: number }) {
     this.#open = options.open;
     const { incarnation } = options.open.peerHello;
     // The sequence tells two links of one entry apart: what it reserved over
@@ -43,11 +47,11 @@
   }
 
   drained(): Promise<void> {
-    return this.#open.link.drained();
+    return this.#open.link.waitForDrain();
   }
 
   /** Sends the load unless one has just gone. */
-  sendLoad(load: () => Load, now: number): void {
+  sendLoad(load: () => LoadMessage, now: number): void {
     if (now - this.#loadSentAt < LOAD_INTERVAL) return;
     this.#loadSentAt = now;
     this.send(load());
--- a/packages/daemon/src/sidecar/request_runs.ts
+++ b/packages/daemon/src/sidecar/request_runs.ts
@@ -1,5 +1,5 @@
 /** The requests that run at the backend server now. @module */
-import type { HandOver, Reserve } from "@sycamorepulley/protocol";
+import type { HandOverMessage, ReserveMessage } from "@sycamorepulley/protocol";
 import { monotonicNow } from "../common/clock.ts";
 import type { BackendClient, RunOutcome } from "./backend_client.ts";
 import type { EntryConnection } from "./entry_connection.ts";
@@ -33,8 +33,8 @@
 export type RedeemedRequest = {
   id: string;
   connection: EntryConnection;
-  reserve: Reserve;
-  handOver: HandOver;
+  reserve: ReserveMessage;
+  handOver: HandOverMessage;
 };
 
 /** Starts runs, stops them and tells when none is left. */
--- a/packages/daemon/src/sidecar/reservation_check.ts
+++ b/packages/daemon/src/sidecar/reservation_check.ts
@@ -1,5 +1,8 @@
 /** Whether a reservation can be taken in at all. @module */
-import type { RefusalReason, Reserve } from "@sycamorepulley/protocol";
+import type {
+  ReserveMessage,
+  SidecarRefusalReason,
+} from "@sycamorepulley/protocol";
 
 /** What this sidecar stands for and how it is. */
 export type SidecarCondition = {
@@ -11,9 +14,9 @@
 
 /** The reason that speaks against `reserve`, if any. */
 export function objection(
-  reserve: Reserve,
+  reserve: ReserveMessage,
   condition: SidecarCondition,
-): RefusalReason | undefined {
+): SidecarRefusalReason | undefined {
   // An entry that works from a stale list still comes; it must learn at once
   // that this server leaves, and not by waiting in vain.
   if (condition.leaving) return "leaving";
--- a/packages/daemon/src/sidecar/reservation_table.ts
+++ b/packages/daemon/src/sidecar/reservation_table.ts
@@ -1,11 +1,11 @@
 /** Which entry's connection holds which reservation. @module */
-import type { Reserve } from "@sycamorepulley/protocol";
+import type { ReserveMessage } from "@sycamorepulley/protocol";
 import type { EntryConnection } from "./entry_connection.ts";
 
 /** A reservation and where its grant or refusal goes. */
 export type ReservationRecord = {
   connection: EntryConnection;
-  reserve: Reserve;
+  reserve: ReserveMessage;
 };
 
 /** Reservations that wait or are granted; running ones have left it. */
--- a/packages/daemon/src/sidecar/running_request.ts
+++ b/packages/daemon/src/sidecar/running_request.ts
@@ -1,10 +1,10 @@
 /** One request at the backend server, its answer relayed as it comes. @module */
 import type {
   Cost,
-  Failed,
-  HandOver,
-  Headers,
-  Reserve,
+  FailedMessage,
+  HandOverMessage,
+  HttpHeaders,
+  ReserveMessage,
 } from "@sycamorepulley/protocol";
 import { monotonicNow } from "../common/clock.ts";
 import { AnswerReceiver } from "./backend_client.ts";
@@ -13,7 +13,7 @@
 /** Told of an answer's progress, for the limits. */
 export type ProgressListener = {
   /** `startedAt`: when the request was sent to the server. */
-  onHead(headers: Headers, startedAt: number): void;
+  onHead(headers: HttpHeaders, startedAt: number): void;
   onFirstToken(id: string, now: number): void;
   onProgress(id: string, outputTokens: number): void;
 };
@@ -22,8 +22,8 @@
 export type RunningRequestOptions = {
   id: string;
   connection: EntryConnection;
-  reserve: Reserve;
-  handOver: HandOver;
+  reserve: ReserveMessage;
+  handOver: HandOverMessage;
   startedAt: number;
   listener: ProgressListener;
 };
@@ -31,8 +31,8 @@
 /** Relays an answer to the entry in numbered chunks. */
 export class RunningRequest extends AnswerReceiver {
   readonly id: string;
-  readonly reserve: Reserve;
-  readonly handOver: HandOver;
+  readonly reserve: ReserveMessage;
+  readonly handOver: HandOverMessage;
   readonly abort = new AbortController();
   readonly #connection: EntryConnection;
   readonly #listener: ProgressListener;
@@ -69,7 +69,7 @@
     return this.#connection === connection;
   }
 
-  override head(status: number, headers: Headers): void {
+  override head(status: number, headers: HttpHeaders): void {
     this.#listener.onHead(headers, this.#startedAt);
     this.#connection.send({
       type: "head",
@@ -100,7 +100,7 @@
   }
 
   /** Tells the entry that the answer broke off, or never began. */
-  fail(ran: Failed["ran"], reason: Failed["reason"]): void {
+  fail(ran: FailedMessage["ran"], reason: FailedMessage["reason"]): void {
     const { reservation } = this.handOver;
     this.#connection.send({ type: "failed", reservation, ran, reason });
   }
--- a/packages/daemon/src/sidecar/sidecar.ts
+++ b/packages/daemon/src/sidecar/sidecar.ts
@@ -8,12 +8,12 @@
   ReservationScheduler,
 } from "@sycamorepulley/decisions";
 import type {
-  HandOver,
-  Headers,
-  Load,
+  HandOverMessage,
+  HttpHeaders,
+  LoadMessage,
   Message,
-  RefusalReason,
-  Reserve,
+  ReserveMessage,
+  SidecarRefusalReason,
 } from "@sycamorepulley/protocol";
 import { monotonicNow, wallNow } from "../common/clock.ts";
 import type { RunOutcome } from "./backend_client.ts";
@@ -69,7 +69,7 @@
     });
   }
 
-  get load(): Load {
+  get load(): LoadMessage {
     const now = monotonicNow();
     return {
       type: "load",
@@ -150,7 +150,7 @@
     this.#runs.entryGone(connection);
   }
 
-  #reserve(connection: EntryConnection, reserve: Reserve): void {
+  #reserve(connection: EntryConnection, reserve: ReserveMessage): void {
     const now = monotonicNow();
     const { service, metrics, suspects, weightOf } = this.#options;
     metrics.reservations.inc({ service });
@@ -167,7 +167,7 @@
       return this.#refuse(connection, reserve.reservation, "quarantined");
     }
     if (this.#reservations.has(id) || this.#runs.has(id)) {
-      metrics.ignored.inc({ type: "reserve" });
+      metrics.ignoredMessages.inc({ type: "reserve" });
       return;
     }
     this.#reservations.add(id, { connection, reserve });
@@ -191,7 +191,7 @@
     this.#carryOut(this.#desk.withdraw(id, monotonicNow()));
   }
 
-  #handOver(connection: EntryConnection, handOver: HandOver): void {
+  #handOver(connection: EntryConnection, handOver: HandOverMessage): void {
     const id = connection.reservationId(handOver.reservation);
     const record = this.#reservations.take(id);
     const redeemed = this.#desk.redeem(id, handOver.grant);
@@ -259,7 +259,7 @@
   #refuse(
     connection: EntryConnection,
     reservation: number,
-    reason: RefusalReason,
+    reason: SidecarRefusalReason,
   ): void {
     const { service, metrics, retryAfter } = this.#options;
     metrics.reservationRefusals.inc({ service, reason });
@@ -272,7 +272,7 @@
     connection.sendLoad(() => this.load, monotonicNow());
   }
 
-  #hear(headers: Headers, startedAt: number): void {
+  #hear(headers: HttpHeaders, startedAt: number): void {
     const now = monotonicNow();
     const { statedLimit } = this.#options;
     if (!statedLimit.heard(headers, startedAt, now)) return;
--- a/packages/daemon/src/sidecar/sidecar_estimates.ts
+++ b/packages/daemon/src/sidecar/sidecar_estimates.ts
@@ -1,7 +1,7 @@
 /** What a sidecar has learned of its backend server's speed. @module */
 import { DrainRate, ServiceTimeEstimator } from "@sycamorepulley/decisions";
 import type { Cost, WaitingQueue } from "@sycamorepulley/decisions";
-import type { Reserve } from "@sycamorepulley/protocol";
+import type { ReserveMessage } from "@sycamorepulley/protocol";
 
 /** Tiers beyond any rank: advice counts all that waits. */
 const LOWEST_RANK = Number.MAX_SAFE_INTEGER;
@@ -30,7 +30,7 @@
    * third of all prefill under overload is spent on answers that come late
    * (docs/DECISIONS.md).
    */
-  timeAllowed(reserve: Reserve): number {
+  timeAllowed(reserve: ReserveMessage): number {
     const { cost, remaining, firstTokenRemaining } = reserve;
     if (firstTokenRemaining === undefined) return remaining;
     const decoding = this.#serviceTime.conservativeTotal(cost) -
--- a/packages/daemon/src/sidecar/sidecar_options.ts
+++ b/packages/daemon/src/sidecar/sidecar_options.ts
@@ -3,7 +3,7 @@
   CrashSuspects,
   ReservationScheduler,
 } from "@sycamorepulley/decisions";
-import type { Cost, Message, Reserve } from "@sycamorepulley/protocol";
+import type { Cost, Message, ReserveMessage } from "@sycamorepulley/protocol";
 import type { Log } from "../common/log.ts";
 import type { Metrics } from "../common/metrics.ts";
 import type { BackendClient } from "./backend_client.ts";
@@ -24,7 +24,7 @@
   /** Share of an organisation beside others, from the configuration. */
   weightOf: (organisation: string) => number;
   /** Milliseconds within which a reservation's answer must be whole. */
-  timeAllowed: (reserve: Reserve) => number;
+  timeAllowed: (reserve: ReserveMessage) => number;
   /** Milliseconds until a refused request may come back. */
   retryAfter: (now: number) => number;
   /** Milliseconds that a new reservation of the lowest tier would wait. */
--- a/packages/daemon/src/sidecar/start_sidecar.ts
+++ b/packages/daemon/src/sidecar/start_sidecar.ts
@@ -8,16 +8,16 @@
 } from "@sycamorepulley/decisions";
 import type { ConcurrencyLimit } from "@sycamorepulley/decisions";
 import type { Instance, Status } from "@sycamorepulley/store";
-import type { LinkError, OpenLink } from "@sycamorepulley/protocol";
+import type { EstablishedLink, LinkError } from "@sycamorepulley/protocol";
 import { monotonicNow } from "../common/clock.ts";
 import { Membership } from "../common/membership.ts";
 import { sumByLabel } from "../common/metrics.ts";
-import { createParts } from "../common/process_parts.ts";
-import type { ProcessParts } from "../common/process_parts.ts";
+import { createComponents } from "../common/process_components.ts";
+import type { ProcessComponents } from "../common/process_components.ts";
 import { startProtocolServer } from "../common/protocol_server.ts";
 import type { RunningDaemon } from "../common/running_daemon.ts";
 import type { SidecarSettings } from "../common/settings.ts";
-import { within } from "../common/shutdown_wait.ts";
+import { completesWithin } from "../common/completes_within.ts";
 import { startStatusServer } from "../common/status_server.ts";
 import { BackendClient } from "./backend_client.ts";
 import { EntryConnection } from "./entry_connection.ts";
@@ -31,7 +31,7 @@
 export async function startSidecar(
   settings: SidecarSettings,
 ): Promise<RunningDaemon> {
-  const parts = createParts(settings);
+  const parts = createComponents(settings);
   const { metrics, log, lifecycle, configuration, random } = parts;
   const following = new AbortController();
   const limit = createLimit(settings);
@@ -48,27 +48,27 @@
     onChange: (healthy) => sidecar.healthChanged(healthy),
   });
   let sequence = 0;
-  const serve = (open: OpenLink): Promise<LinkError | undefined> => {
+  const serve = (open: EstablishedLink): Promise<LinkError | undefined> => {
     sequence += 1;
     const connection = new EntryConnection({ open, sequence });
     sidecar.connected(connection);
     const { peerRevision } = connection;
-    configuration.peerHas(connection, peerRevision, monotonicNow());
+    configuration.recordPeerRevision(connection, peerRevision, monotonicNow());
     return connection.run(sidecar);
   };
   const protocol = await startProtocolServer({
     address: settings.protocol,
-    hello: parts.hello,
-    links: settings.bounds.links,
-    serve,
+    createHello: parts.createHello,
+    maxLinks: settings.bounds.links,
+    serveLink: serve,
     metrics,
     log,
   });
   const status = await startStatusServer({
     address: settings.status,
     metrics,
-    ready: () => lifecycle.state === "ready" && sidecar.load.healthy,
-    status: () => statusOf(settings, parts, sidecar),
+    isReady: () => lifecycle.state === "ready" && sidecar.load.healthy,
+    getStatus: () => statusOf(settings, parts, sidecar),
   });
   const membership = new Membership({
     list: parts.instanceList,
@@ -86,10 +86,10 @@
     if (!lifecycle.apply("stop")) return;
     log.info("leaving");
     const left = sidecar.leave();
-    await membership.leaving();
-    const whole = await within(left, settings.shutdownWait);
+    await membership.announceDraining();
+    const whole = await completesWithin(left, settings.shutdownWait);
     if (!whole) log.warn("requests still running at the end of the wait");
-    await membership.leave();
+    await membership.deregister();
     probe.stop();
     following.abort();
     protocol.close();
@@ -115,7 +115,7 @@
 
 function createSidecar(
   settings: SidecarSettings,
-  parts: ProcessParts,
+  parts: ProcessComponents,
   own: {
     limit: ConcurrencyLimit;
     client: BackendClient;
@@ -145,7 +145,7 @@
     onOtherMessage: (connection, message) => {
       if (message.type === "heartbeat") {
         const { configurationRevision } = message;
-        configuration.peerHas(
+        configuration.recordPeerRevision(
           connection,
           configurationRevision,
           monotonicNow(),
@@ -156,7 +156,7 @@
         });
         return;
       }
-      configuration.onMessage(connection, message);
+      configuration.handleMessage(connection, message);
     },
     limit: () => own.limit.limit,
     statedLimit: new StatedServerLimit({
@@ -192,7 +192,7 @@
 
 async function statusOf(
   settings: SidecarSettings,
-  parts: ProcessParts,
+  parts: ProcessComponents,
   sidecar: Sidecar,
 ): Promise<Status> {
   const { metrics, lifecycle, configuration, startedAt } = parts;
--- a/packages/daemon/src/sidecar/stated_server_limit.ts
+++ b/packages/daemon/src/sidecar/stated_server_limit.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { parseServerLimit, ServerLimits } from "@sycamorepulley/decisions";
-import type { Headers } from "@sycamorepulley/protocol";
+import type { HttpHeaders } from "@sycamorepulley/protocol";
 import type { Log } from "../common/log.ts";
 
 /** Its server is the only one that a sidecar knows. */
@@ -31,7 +31,7 @@
   }
 
   /** Takes the headers of an answer to a request sent at `sentAt`; true if news. */
-  heard(headers: Headers, sentAt: number, now: number): boolean {
+  heard(headers: HttpHeaders, sentAt: number, now: number): boolean {
     const stated = parseServerLimit(headers[this.#header]);
     if (stated.isErr) {
       const { error: value } = stated;
@@ -43,7 +43,7 @@
     const observation = {
       perSecond,
       by: this.#instance,
-      observedAt: observedAt,
+      observedAt,
     };
     if (this.#limits.observe(SERVER, observation) !== "changed") return false;
     if (perSecond === undefined) this.#log.info("server limit ended");
--- a/packages/daemon/test/configuration_keeper_test.ts
+++ b/packages/daemon/test/configuration_keeper_test.ts
@@ -1,11 +1,11 @@
 import { MemoryKeyValueStore } from "@sycamorepulley/store";
 import t from "tap";
-import { ConfigurationKeeper } from "../src/common/configuration_keeper.ts";
+import { ConfigurationSync } from "../src/common/configuration_sync.ts";
 import { Metrics } from "../src/common/metrics.ts";
 
 t.test("of many peers with a newer set one is asked at a time", (t) => {
   // Each message of each peer asked for all of it, over links that it fills.
-  const keeper = new ConfigurationKeeper({
+  const keeper = new ConfigurationSync({
     store: new MemoryKeyValueStore(),
     fleetSize: 10,
     random: () => 0.5,
@@ -17,13 +17,17 @@
     send: () => asked.push(index),
   }));
   const told = (now: number) => {
-    for (const peer of peers) keeper.peerHas(peer, 5, now);
+    for (const peer of peers) keeper.recordPeerRevision(peer, 5, now);
   };
   for (let now = 0; now < 1900; now += 100) told(now);
   t.same(asked, [0]);
   told(2000);
   t.equal(asked.length, 2, "the first did not answer");
-  keeper.onMessage(peers[0]!, { type: "configuration", revision: 4, text: "" });
+  keeper.handleMessage(peers[0]!, {
+    type: "configuration",
+    revision: 4,
+    text: "",
+  });
   told(2010);
   t.equal(asked.length, 3, "what came was of no use");
   t.end();
--- a/packages/daemon/test/sidecar_estimates_test.ts
+++ b/packages/daemon/test/sidecar_estimates_test.ts
@@ -1,8 +1,8 @@
-import type { Reserve } from "@sycamorepulley/protocol";
+import type { ReserveMessage } from "@sycamorepulley/protocol";
 import t from "tap";
 import { SidecarEstimates } from "../src/sidecar/sidecar_estimates.ts";
 
-const reserve: Reserve = {
+const reserve: ReserveMessage = {
   type: "reserve",
   reservation: 1,
   service: "assistant",
--- a/packages/daemon/test/sidecar_session_test.ts
+++ b/packages/daemon/test/sidecar_session_test.ts
@@ -1,5 +1,9 @@
 import { acceptLink, PROTOCOL_VERSION } from "@sycamorepulley/protocol";
-import type { Hello, Message, Reserve } from "@sycamorepulley/protocol";
+import type {
+  HelloMessage,
+  Message,
+  ReserveMessage,
+} from "@sycamorepulley/protocol";
 import { once } from "node:events";
 import { createServer } from "node:net";
 import type { AddressInfo } from "node:net";
@@ -11,7 +15,7 @@
   SidecarSession,
 } from "../src/entry/sidecar_session.ts";
 
-const hello: Hello = {
+const hello: HelloMessage = {
   type: "hello",
   protocolVersion: PROTOCOL_VERSION,
   role: "entry",
@@ -21,7 +25,7 @@
   configurationRevision: 0,
 };
 
-const reserve: Reserve = {
+const reserve: ReserveMessage = {
   type: "reserve",
   reservation: 1,
   service: "assistant",
--- a/packages/decisions/src/fleet/entry_group.ts
+++ b/packages/decisions/src/fleet/entry_group.ts
@@ -48,7 +48,7 @@
 }
 
 /** An entry that is connected to this one, or this one itself. */
-export type PresentEntry = {
+export type ReachableEntry = {
   name: string;
   /** The other entries certainly count it at its full share. */
   listed: boolean;
@@ -58,11 +58,11 @@
 
 /** Input of {@link groupFractions}. */
 export type GroupView = {
-  present: readonly PresentEntry[];
+  reachable: readonly ReachableEntry[];
   /** Share reserved for each known entry; see `MembershipList.shares`. */
   shares: ReadonlyMap<string, number>;
   /** The largest total of shares that a peer reports. */
-  stated: number;
+  reportedTotalShares: number;
 };
 
 /** Fractions, 0 to 1, of what the whole fleet may use. */
@@ -74,9 +74,11 @@
 };
 
 /** Returns the sum of the shares of all entries that this one knows. */
-export function totalShares(view: Omit<GroupView, "stated">): number {
+export function totalShares(
+  view: Omit<GroupView, "reportedTotalShares">,
+): number {
   const shares = new Map(view.shares);
-  for (const entry of view.present) {
+  for (const entry of view.reachable) {
     const known = shares.get(entry.name) ?? 0;
     shares.set(entry.name, Math.max(known, shareInUse(entry)));
   }
@@ -85,7 +87,7 @@
 
 /** Returns the fractions that this entry may grant as the granting entry. */
 export function groupFractions(view: GroupView): GroupFractions {
-  const { present, shares, stated } = view;
+  const { reachable: present, shares, reportedTotalShares: stated } = view;
   const asking = present.filter(({ asksThisEntry: asks }) => asks);
   const atFullShare = [...shares].filter(([, share]) => share === 1)
     .map(([name]) => name);
@@ -99,7 +101,7 @@
 }
 
 /** Share that the entry itself uses; reduced once the others may not count it. */
-function shareInUse({ listed }: PresentEntry): number {
+function shareInUse({ listed }: ReachableEntry): number {
   return listed ? 1 : REDUCED_SHARE;
 }
 
--- a/packages/decisions/src/fleet/mod.ts
+++ b/packages/decisions/src/fleet/mod.ts
@@ -28,5 +28,5 @@
   GrantCandidate,
   GroupFractions,
   GroupView,
-  PresentEntry,
+  ReachableEntry,
 } from "./entry_group.ts";
--- a/packages/decisions/test/group_fractions_test.ts
+++ b/packages/decisions/test/group_fractions_test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import t from "tap";
 import { groupFractions, MembershipList, totalShares } from "../src/mod.ts";
-import type { GroupFractions, PresentEntry } from "../src/mod.ts";
+import type { GroupFractions, ReachableEntry } from "../src/mod.ts";
 
 const NAMES = ["a", "b", "c", "d", "e"];
 
@@ -27,7 +27,7 @@
 ): GroupFractions {
   const { members, peers, grantingEntryOf, listed = () => true, now = 0 } =
     view;
-  const present: PresentEntry[] = [...new Set([name, ...peers])].map((
+  const present: ReachableEntry[] = [...new Set([name, ...peers])].map((
     entry,
   ) => ({
     name: entry,
@@ -35,8 +35,12 @@
     asksThisEntry: grantingEntryOf(entry) === name,
   }));
   const shares = members.shares(now);
-  const stated = totalShares({ present, shares });
-  return groupFractions({ present, shares, stated });
+  const stated = totalShares({ reachable: present, shares });
+  return groupFractions({
+    reachable: present,
+    shares,
+    reportedTotalShares: stated,
+  });
 }
 
 t.test("the fractions of disconnected groups add up to one", (t) => {
@@ -96,8 +100,16 @@
   // An entry that has just started does not know unregistered entries.
   const present = [{ name: "d", listed: true, asksThisEntry: true }];
   const shares = membersOf(["d"]).shares(0);
-  t.equal(groupFractions({ present, shares, stated: 5 }).quota, 0.2);
-  t.equal(groupFractions({ present, shares, stated: 0 }).quota, 1);
+  t.equal(
+    groupFractions({ reachable: present, shares, reportedTotalShares: 5 })
+      .quota,
+    0.2,
+  );
+  t.equal(
+    groupFractions({ reachable: present, shares, reportedTotalShares: 0 })
+      .quota,
+    1,
+  );
   t.end();
 });
 
--- a/packages/decisions/test/move_fixtures.ts
+++ b/packages/decisions/test/move_fixtures.ts
@@ -42,6 +42,6 @@
   return {
     verdict: { kind: "undecided" },
     evidence: [evidence("chat", [1000, 0, 0], [ended, 0, 0])],
-    capacityShare: capacityShare,
+    capacityShare,
   };
 }
--- a/packages/decisions/test/retries_test.ts
+++ b/packages/decisions/test/retries_test.ts
@@ -15,9 +15,9 @@
     fc.property(steps, (steps) => {
       const [retriesPerSuccess, refillPerSecond, capacity] = [0.1, 2, 5];
       const budget = new RetryBudget({
-        retriesPerSuccess: retriesPerSuccess,
-        refillPerSecond: refillPerSecond,
-        capacity: capacity,
+        retriesPerSuccess,
+        refillPerSecond,
+        capacity,
       });
       const events: { now: number; retries: number; successes: number }[] = [];
       let now = 0;
--- a/packages/emulator/src/commands/load_command.ts
+++ b/packages/emulator/src/commands/load_command.ts
@@ -1,7 +1,7 @@
 /** The `load` command. @module */
 import type { CAC } from "cac";
 import * as v from "valibot";
-import { loadReport } from "../load/load_report.ts";
+import { formatLoadSummaries } from "../load/format_load_summaries.ts";
 import { parseMix } from "../load/mix.ts";
 import { runLoad } from "../load/run_load.ts";
 
@@ -59,7 +59,9 @@
     seconds,
     seed,
     mix: parseMix(mix),
-    shape: { ...shape, deadline: shape.deadline, token: shape.token },
+    requestOptions: { ...shape, deadline: shape.deadline, token: shape.token },
   });
-  console.log(json ? JSON.stringify(summaries) : loadReport(summaries));
+  console.log(
+    json ? JSON.stringify(summaries) : formatLoadSummaries(summaries),
+  );
 }
--- a/packages/emulator/src/engine/answer_writer.ts
+++ b/packages/emulator/src/engine/answer_writer.ts
@@ -1,6 +1,6 @@
 /** Writes an engine's answer, whole or as server-sent events. @module */
 import type { ServerResponse } from "node:http";
-import { answerText, answerToken } from "../answer/marked_answer.ts";
+import { markedText, markedToken } from "../markers/marked_text.ts";
 import { sendCutJson, sendJson } from "../server/http_messages.ts";
 import type { Usage } from "./chat_completion.ts";
 
@@ -49,7 +49,7 @@
 
   #document(): unknown {
     const { id, model, server, marker, outputTokens, usage } = this.facts;
-    const content = answerText(marker, outputTokens);
+    const content = markedText(marker, outputTokens);
     return {
       id,
       object: "chat.completion",
@@ -86,7 +86,7 @@
       });
     }
     const { marker, outputTokens } = this.facts;
-    const content = answerToken(marker, index, outputTokens);
+    const content = markedToken(marker, index, outputTokens);
     this.#event({ choices: [{ index: 0, delta: { content } }] });
   }
 
--- a/packages/emulator/src/engine/engine.ts
+++ b/packages/emulator/src/engine/engine.ts
@@ -1,7 +1,7 @@
 /** An emulated model engine behind HTTP. @module */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import * as v from "valibot";
-import { markerOf } from "../answer/marked_answer.ts";
+import { findMarker } from "../markers/marked_text.ts";
 import { FaultSwitch } from "../faults/fault_switch.ts";
 import { failRecord, followAnswer, History } from "../history/history.ts";
 import type { HistoryRecord } from "../history/history_record.ts";
@@ -102,7 +102,7 @@
     const prompt = promptOf(parsed.output);
     const promptTokens = tokensOf(prompt);
     const cachedTokens = this.#cache.use(prompt);
-    const marker = markerOf(prompt);
+    const marker = findMarker(prompt);
     const facts = { marker, promptTokens, cachedTokens };
     const record = this.history.start(request, facts, Date.now());
     followAnswer(record, response);
--- a/packages/emulator/src/load/load_report.ts
+++ b/packages/emulator/src/load/format_load_summaries.ts
@@ -2,7 +2,7 @@
 import type { LoadSummary, Percentiles } from "./load_results.ts";
 
 /** A table for people; durations are milliseconds. */
-export function loadReport(summaries: LoadSummary[]): string {
+export function formatLoadSummaries(summaries: LoadSummary[]): string {
   const rows = summaries.map((summary) => [
     summary.part,
     String(summary.sent),
--- a/packages/emulator/src/load/load_request.ts
+++ b/packages/emulator/src/load/load_request.ts
@@ -4,7 +4,7 @@
 import type { MixPart } from "./mix.ts";
 
 /** How the requests of a load look. */
-export type LoadShape = {
+export type LoadRequestOptions = {
   model: string;
   bookingService: string;
   promptTokens: number;
@@ -27,7 +27,7 @@
 /** The request number `number` of a load; its marker is unique in the load. */
 export function loadRequest(
   part: MixPart,
-  shape: LoadShape,
+  shape: LoadRequestOptions,
   number: number,
 ): LoadRequest {
   const marker = `#load-${number}#`;
@@ -45,7 +45,10 @@
   return { method: "POST", path: "/v1/chat/completions", headers, body };
 }
 
-function headersOf(part: MixPart, shape: LoadShape): Record<string, string> {
+function headersOf(
+  part: MixPart,
+  shape: LoadRequestOptions,
+): Record<string, string> {
   const headers: Record<string, string> = {
     "content-type": "application/json",
   };
@@ -61,7 +64,11 @@
   return headers;
 }
 
-function chatBody(shape: LoadShape, marker: string, stream: boolean): string {
+function chatBody(
+  shape: LoadRequestOptions,
+  marker: string,
+  stream: boolean,
+): string {
   const length = shape.promptTokens * CHARACTERS_PER_TOKEN - marker.length;
   const content = marker + "x".repeat(Math.max(0, length));
   return JSON.stringify({
--- a/packages/emulator/src/load/run_load.ts
+++ b/packages/emulator/src/load/run_load.ts
@@ -4,7 +4,7 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { Agent } from "undici";
 import { loadRequest } from "./load_request.ts";
-import type { LoadShape } from "./load_request.ts";
+import type { LoadRequestOptions } from "./load_request.ts";
 import { LoadResults } from "./load_results.ts";
 import type { LoadSummary } from "./load_results.ts";
 import { loadTarget } from "./load_target.ts";
@@ -25,7 +25,7 @@
   rate: number;
   seconds: number;
   mix: MixPart[];
-  shape: LoadShape;
+  requestOptions: LoadRequestOptions;
   seed: number;
 };
 
@@ -41,7 +41,11 @@
       results.add(arrival.name, { result: "unsent", firstByte: 0, total: 0 });
       continue;
     }
-    const request = loadRequest(arrival.part, options.shape, arrival.number);
+    const request = loadRequest(
+      arrival.part,
+      options.requestOptions,
+      arrival.number,
+    );
     const sent = sendLoadRequest(target, request, agent).then((outcome) => {
       results.add(arrival.name, outcome);
       outstanding.delete(sent);
--- a/packages/emulator/src/answer/marked_answer.ts
+++ b/packages/emulator/src/markers/marked_text.ts
@@ -7,12 +7,12 @@
 const UNMARKED = "unmarked";
 
 /** The marker in a prompt, a body or a path, written `#marker#`. */
-export function markerOf(text: string): string | undefined {
+export function findMarker(text: string): string | undefined {
   return MARKER.exec(text)?.[1];
 }
 
 /** Token `index` (from 1) of `count`. */
-export function answerToken(
+export function markedToken(
   marker: string | undefined,
   index: number,
   count: number,
@@ -21,20 +21,20 @@
 }
 
 /** The whole answer of `count` tokens. */
-export function answerText(marker: string | undefined, count: number): string {
+export function markedText(marker: string | undefined, count: number): string {
   let text = "";
   for (let index = 1; index <= count; index++) {
-    text += answerToken(marker, index, count);
+    text += markedToken(marker, index, count);
   }
   return text;
 }
 
 /** Whether `text` is the whole answer to the request with `marker`. */
-export function isWholeAnswer(text: string, marker: string): boolean {
+export function isCompleteText(text: string, marker: string): boolean {
   const first = text.split(" ", 1)[0] ?? "";
   const count = Number(first.split("/")[1]);
   if (!Number.isSafeInteger(count) || count < 1) {
     return false;
   }
-  return text === answerText(marker, count);
+  return text === markedText(marker, count);
 }
--- a/packages/emulator/src/mod.ts
+++ b/packages/emulator/src/mod.ts
@@ -1,5 +1,9 @@
 /** Emulated engines, plain services and platform services. @module */
-export { answerText, isWholeAnswer, markerOf } from "./answer/marked_answer.ts";
+export {
+  findMarker,
+  isCompleteText,
+  markedText,
+} from "./markers/marked_text.ts";
 export { startEngine } from "./engine/start_engine.ts";
 export type { EngineSettingsInput } from "./engine/engine_settings.ts";
 export { faultsSchema } from "./faults/faults.ts";
@@ -11,8 +15,8 @@
 export type { PlainSettingsInput } from "./plain/plain_settings.ts";
 export type { BackendServer } from "./server/backend_server.ts";
 export type { EmulatedServer } from "./server/emulated_server.ts";
-export { loadReport } from "./load/load_report.ts";
-export type { LoadShape } from "./load/load_request.ts";
+export { formatLoadSummaries } from "./load/format_load_summaries.ts";
+export type { LoadRequestOptions } from "./load/load_request.ts";
 export type { LoadSummary, Percentiles } from "./load/load_results.ts";
 export { parseMix } from "./load/mix.ts";
 export { runLoad } from "./load/run_load.ts";
--- a/packages/emulator/src/plain/booking_service.ts
+++ b/packages/emulator/src/plain/booking_service.ts
@@ -1,7 +1,7 @@
 /** An emulated booking service: a plain service with calls not to be repeated. @module */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { setTimeout } from "node:timers/promises";
-import { markerOf } from "../answer/marked_answer.ts";
+import { findMarker } from "../markers/marked_text.ts";
 import { FaultSwitch } from "../faults/fault_switch.ts";
 import { failRecord, followAnswer, History } from "../history/history.ts";
 import type { HistoryRecord } from "../history/history_record.ts";
@@ -57,7 +57,7 @@
       return;
     }
     const text = await readText(request);
-    const marker = markerOf(text) ?? markerOf(decodePath(request.url));
+    const marker = findMarker(text) ?? findMarker(decodePath(request.url));
     const record = this.history.start(request, { marker }, Date.now());
     followAnswer(record, response);
     if (this.#failsEarly(record, response)) {
--- a/packages/emulator/src/platform/key_value_service.ts
+++ b/packages/emulator/src/platform/key_value_service.ts
@@ -6,8 +6,8 @@
  */
 import { MemoryKeyValueStore } from "@sycamorepulley/store";
 import type {
-  Entry,
   KeyValueBackup,
+  KeyValueEntry,
   PlatformError,
   WatchOutcome,
 } from "@sycamorepulley/store";
@@ -115,7 +115,7 @@
   });
 }
 
-function entryAnswer(status: number, entry: Entry | undefined): Answer {
+function entryAnswer(status: number, entry: KeyValueEntry | undefined): Answer {
   if (entry === undefined) {
     return json(404, { problem: "no such key" });
   }
--- a/packages/emulator/test/engine_test.ts
+++ b/packages/emulator/test/engine_test.ts
@@ -1,7 +1,7 @@
 import { once } from "node:events";
 import t from "tap";
 import { request } from "undici";
-import { isWholeAnswer, startEngine } from "../src/mod.ts";
+import { isCompleteText, startEngine } from "../src/mod.ts";
 import type { BackendServer } from "../src/mod.ts";
 
 const FAST = { stepTime: 1, sequenceTime: 0, prefillTime: 0 };
@@ -32,7 +32,7 @@
     choices: { message: { content: string } }[];
     usage: unknown;
   };
-  t.ok(isWholeAnswer(document.choices[0]?.message.content ?? "", "a1"));
+  t.ok(isCompleteText(document.choices[0]?.message.content ?? "", "a1"));
   t.match(document.usage, { prompt_tokens: 4, completion_tokens: 5 });
   t.match(engine.records, [{ marker: "a1", outcome: "finished" }]);
 });
@@ -50,7 +50,7 @@
   t.equal(all.pop(), "[DONE]");
   const parsed = all.map((event) => JSON.parse(event));
   const text = parsed.map((event) => event.choices[0]?.delta.content ?? "");
-  t.ok(isWholeAnswer(text.join(""), "a2"));
+  t.ok(isCompleteText(text.join(""), "a2"));
   t.equal(parsed.at(-1).usage.completion_tokens, 3);
 });
 
--- a/packages/emulator/test/load_test.ts
+++ b/packages/emulator/test/load_test.ts
@@ -39,7 +39,7 @@
     seconds: 0.3,
     seed: 7,
     mix: parseMix("chat=1,stream=1"),
-    shape: {
+    requestOptions: {
       model: "assistant",
       bookingService: "bookings",
       promptTokens: 10,
--- a/packages/gateway/src/entry_status.ts
+++ b/packages/gateway/src/entry_status.ts
@@ -55,7 +55,7 @@
     const reachable = [...peers.entries(), this.#ownEntry()]
       .map(({ name, listed }) => ({ name, listed, asksThisEntry: false }));
     const shares = state.membershipList.shares(clock());
-    return totalShares({ present: reachable, shares });
+    return totalShares({ reachable, shares });
   }
 
   /**
--- a/packages/gateway/src/front/forwarded_headers.ts
+++ b/packages/gateway/src/front/forwarded_headers.ts
@@ -1,9 +1,9 @@
 /** Selects the headers that are forwarded to a server or a caller. @module */
-import { CONNECTION_HEADERS } from "@sycamorepulley/protocol";
+import { HOP_BY_HOP_HEADERS } from "@sycamorepulley/protocol";
 
 /** Connection headers, and the content length, which is set anew when forwarding. */
 const NEVER_FORWARDED: ReadonlySet<string> = new Set([
-  ...CONNECTION_HEADERS,
+  ...HOP_BY_HOP_HEADERS,
   "content-length",
 ]);
 
--- a/packages/gateway/src/peers/grant_client.ts
+++ b/packages/gateway/src/peers/grant_client.ts
@@ -140,9 +140,9 @@
     });
     this.#localGranter.setFractions(
       groupFractions({
-        present: reachable,
+        reachable,
         shares,
-        stated: reportedTotalShares,
+        reportedTotalShares,
       }),
     );
     if (granting === this.#grantingEntry) return;
@@ -228,7 +228,7 @@
         const { id, reason, retryAfter } = message;
         const { free, waiting, quotaWait, standing } = message;
         const inputs = { free, waiting, quotaWait, standing };
-        const result = { reason, retryAfter, inputs: inputs, by: peer };
+        const result = { reason, retryAfter, inputs, by: peer };
         this.#settle(id, { kind: "refuse", ...result });
         return true;
       }
--- a/packages/gateway/src/peers/local_granter.ts
+++ b/packages/gateway/src/peers/local_granter.ts
@@ -238,5 +238,5 @@
     return { kind: "grant", server: decision.server, by };
   }
   const { reason, retryAfter, inputs } = decision;
-  return { kind: "refuse", reason, retryAfter, inputs: inputs, by };
+  return { kind: "refuse", reason, retryAfter, inputs, by };
 }
--- a/packages/gateway/src/peers/peer_link.ts
+++ b/packages/gateway/src/peers/peer_link.ts
@@ -89,7 +89,7 @@
 
   sendHeartbeat(heartbeat: Heartbeat, now: number): void {
     this.heartbeatAt = now;
-    const { status: status, interval, reply } = heartbeat;
+    const { status, interval, reply } = heartbeat;
     this.heartbeatKey = heartbeatKey(status, interval);
     this.send({ type: "heartbeat", ...status, interval, reply }, now);
   }
--- a/packages/gateway/src/state/entry_registration.ts
+++ b/packages/gateway/src/state/entry_registration.ts
@@ -78,7 +78,7 @@
   async leave(): Promise<void> {
     this.#stopController.abort();
     if (this.#lease === undefined) return;
-    await this.#store.endLease(this.#lease);
+    await this.#store.revokeLease(this.#lease);
   }
 
   async #register(member: Member): Promise<boolean> {
--- a/packages/gateway/test/fixture.ts
+++ b/packages/gateway/test/fixture.ts
@@ -189,7 +189,7 @@
   /** Starts an entry that can't reach the store and has `first` as its seed. */
   static async startWithoutStore(first: Fixture): Promise<Fixture> {
     const store = new MemoryMetadataStore();
-    store.down = true;
+    store.outage = true;
     return await Fixture.start({
       store,
       servers: first.servers,
--- a/packages/gateway/test/lifecycle_test.ts
+++ b/packages/gateway/test/lifecycle_test.ts
@@ -167,9 +167,9 @@
   // Guards against using a fifth of it while its old registration still counts.
   class StoreWithoutLeases extends MemoryMetadataStore {
     override grantLease(): ReturnType<MemoryMetadataStore["grantLease"]> {
-      this.down = true;
+      this.outage = true;
       const refused = super.grantLease();
-      this.down = false;
+      this.outage = false;
       return refused;
     }
   }
@@ -205,10 +205,10 @@
     return (await first.call("/calls/", { headers })).status;
   };
   t.equal(await statusOfUnknownCredential(), 401);
-  store.down = true;
+  store.outage = true;
   t.ok(await waitUntil(async () => await statusOfUnknownCredential() === 503));
   t.equal((await first.call("/calls/")).status, 200);
-  store.down = false;
+  store.outage = false;
   t.ok(await waitUntil(async () => await statusOfUnknownCredential() === 401));
   await Promise.all([first.stop(), second.gateway.stop()]);
 });
@@ -227,15 +227,15 @@
   const fixture = await Fixture.start({ store });
   await fixture.waitUntilReady();
   await new Promise((resolve) => setTimeout(resolve, 100));
-  store.deaf = true;
+  store.withholdsChanges = true;
   store.put(
     "configuration",
     storedConfiguration(2, [route({ prefix: "/new/" })]),
   );
   store.compact();
-  store.deaf = false;
+  store.withholdsChanges = false;
   const before = timeouts.length;
-  store.cut();
+  store.abortWatches();
   const served = async () => (await fixture.call("/new/")).status === 200;
   t.ok(await waitUntil(served));
   const [first = Infinity] = timeouts.slice(before);
--- a/packages/gateway/test/state_transfer_test.ts
+++ b/packages/gateway/test/state_transfer_test.ts
@@ -20,7 +20,7 @@
     entries.push(await Fixture.start({ store, instance, servers }));
   }
   const away = new MemoryMetadataStore();
-  away.down = true;
+  away.outage = true;
   const behind = await Fixture.start({
     store: away,
     servers,
--- a/packages/gateway/test/store_view.ts
+++ b/packages/gateway/test/store_view.ts
@@ -40,15 +40,15 @@
     return this.#call(() => this.#store.renewLease(lease));
   }
 
-  override endLease(lease: number) {
-    return this.#call(() => this.#store.endLease(lease));
+  override revokeLease(lease: number) {
+    return this.#call(() => this.#store.revokeLease(lease));
   }
 
   /** Makes one call; the store is down during it if it rejects the entry. */
   #call<Outcome>(call: () => Outcome): Outcome {
-    this.#store.down = this.rejects;
+    this.#store.outage = this.rejects;
     const outcome = call();
-    this.#store.down = false;
+    this.#store.outage = false;
     return outcome;
   }
 }
--- a/packages/protocol/src/handshake.ts
+++ b/packages/protocol/src/handshake.ts
@@ -8,20 +8,20 @@
 import { Link } from "./link.ts";
 import { LinkError } from "./link_error.ts";
 import { PROTOCOL_VERSION } from "./messages.ts";
-import type { Hello, Message } from "./messages.ts";
+import type { HelloMessage, Message } from "./messages.ts";
 
 /** A link whose peer has said who it is. */
-export type OpenLink = {
+export type EstablishedLink = {
   link: Link;
-  peerHello: Hello;
+  peerHello: HelloMessage;
   /** All that follows the hello. */
   messages: AsyncGenerator<Message, void>;
 };
 
 /** Connects to a peer's address and exchanges hellos. */
 export async function openLink(
-  options: { host: string; port: number; hello: Hello; timeout: number },
-): Promise<Result<OpenLink, LinkError>> {
+  options: { host: string; port: number; hello: HelloMessage; timeout: number },
+): Promise<Result<EstablishedLink, LinkError>> {
   const connected = await connectSocket(options);
   if (connected.isErr) return Result.err(connected.error);
   return await greet({ ...options, socket: connected.value });
@@ -29,8 +29,8 @@
 
 /** Exchanges hellos on a connection that the peer opened. */
 export function acceptLink(
-  options: { socket: Socket; hello: Hello; timeout: number },
-): Promise<Result<OpenLink, LinkError>> {
+  options: { socket: Socket; hello: HelloMessage; timeout: number },
+): Promise<Result<EstablishedLink, LinkError>> {
   return greet(options);
 }
 
@@ -57,8 +57,8 @@
 }
 
 async function greet(
-  options: { socket: Socket; hello: Hello; timeout: number },
-): Promise<Result<OpenLink, LinkError>> {
+  options: { socket: Socket; hello: HelloMessage; timeout: number },
+): Promise<Result<EstablishedLink, LinkError>> {
   const { socket, hello, timeout } = options;
   const link = new Link({ socket });
   link.send(hello);
@@ -84,7 +84,7 @@
 function checkHello(
   peer: string,
   message: Message | undefined,
-): Result<Hello, LinkError> {
+): Result<HelloMessage, LinkError> {
   if (message?.type !== "hello") {
     return Result.err(
       new LinkError({
--- a/packages/protocol/src/connection_headers.ts
+++ b/packages/protocol/src/hop_by_hop_headers.ts
@@ -1,7 +1,7 @@
 /** HTTP headers that end at a connection. @module */
 
 /** Headers that concern one connection only (RFC 9110, section 7.6.1). */
-export const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
--- a/packages/protocol/src/link.ts
+++ b/packages/protocol/src/link.ts
@@ -9,7 +9,7 @@
 import type { MessageSchema } from "./frame_codec.ts";
 import type { Message } from "./messages.ts";
 
-/** Buffered bytes beyond which {@link Link.drained} waits. */
+/** Buffered bytes beyond which {@link Link.waitForDrain} waits. */
 const HIGH_WATER_BYTES = 1024 * 1024;
 
 /** Counts of what went over a link, for the control-traffic figures. */
@@ -64,7 +64,7 @@
   }
 
   /** Resolves once the peer has read enough for more bytes to be sent. */
-  async drained(): Promise<void> {
+  async waitForDrain(): Promise<void> {
     if (this.#closed || this.#socket.writableLength < HIGH_WATER_BYTES) return;
     await new Promise<void>((resolve) => {
       const done = () => {
--- a/packages/protocol/src/messages.ts
+++ b/packages/protocol/src/messages.ts
@@ -17,17 +17,17 @@
 const grantNumber = count;
 
 /** HTTP headers by lower-case name; some, as `set-cookie`, come repeatedly. */
-export const headersSchema = v.record(
+export const httpHeadersSchema = v.record(
   v.string(),
   v.union([v.string(), v.array(v.string())]),
 );
-/** See {@link headersSchema}. */
-export type Headers = v.InferOutput<typeof headersSchema>;
+/** See {@link httpHeadersSchema}. */
+export type HttpHeaders = v.InferOutput<typeof httpHeadersSchema>;
 
 /** What a caller may conclude about its request having run. */
-export const ranSchema = v.picklist(["no", "unknown", "yes"]);
-/** See {@link ranSchema}. */
-export type Ran = v.InferOutput<typeof ranSchema>;
+export const executionStatusSchema = v.picklist(["no", "unknown", "yes"]);
+/** See {@link executionStatusSchema}. */
+export type ExecutionStatus = v.InferOutput<typeof executionStatusSchema>;
 
 /** Work expected of a backend server: tokens for an engine, calls otherwise. */
 export const costSchema = v.object({
@@ -86,7 +86,7 @@
   grant: grantNumber,
   method: text,
   path: v.pipe(v.string(), v.maxLength(8192)),
-  headers: headersSchema,
+  headers: httpHeadersSchema,
   body: bytes,
   remaining: duration,
   /** Not idempotent: it finishes although its entry is gone. */
@@ -108,7 +108,7 @@
 });
 
 /** Why a sidecar did not take, or no longer holds, a reservation. */
-export const refusalReasonSchema = v.picklist([
+export const sidecarRefusalReasonSchema = v.picklist([
   "queue_full",
   "evicted",
   "deadline",
@@ -119,14 +119,16 @@
   "grant_lapsed",
   "quarantined",
 ]);
-/** See {@link refusalReasonSchema}. */
-export type RefusalReason = v.InferOutput<typeof refusalReasonSchema>;
+/** See {@link sidecarRefusalReasonSchema}. */
+export type SidecarRefusalReason = v.InferOutput<
+  typeof sidecarRefusalReasonSchema
+>;
 
 /** The reservation is gone and its request did not reach the server. */
 export const refuseSchema = v.object({
   type: v.literal("refuse"),
   reservation: reservationNumber,
-  reason: refusalReasonSchema,
+  reason: sidecarRefusalReasonSchema,
   /** When coming back is expected to help. */
   retryAfter: v.optional(duration),
 });
@@ -136,7 +138,7 @@
   type: v.literal("head"),
   reservation: reservationNumber,
   status: count,
-  headers: headersSchema,
+  headers: httpHeadersSchema,
 });
 
 /** The next bytes of an answer; `sequence` counts from 0 without gaps. */
@@ -159,7 +161,7 @@
 export const failedSchema = v.object({
   type: v.literal("failed"),
   reservation: reservationNumber,
-  ran: ranSchema,
+  ran: executionStatusSchema,
   reason: v.picklist([
     "grant_lapsed",
     "connect_failed",
@@ -258,14 +260,14 @@
 /** Any message of the protocol. */
 export type Message = v.InferOutput<typeof messageSchema>;
 /** See {@link helloSchema}. */
-export type Hello = v.InferOutput<typeof helloSchema>;
+export type HelloMessage = v.InferOutput<typeof helloSchema>;
 /** See {@link reserveSchema}. */
-export type Reserve = v.InferOutput<typeof reserveSchema>;
+export type ReserveMessage = v.InferOutput<typeof reserveSchema>;
 /** See {@link handOverSchema}. */
-export type HandOver = v.InferOutput<typeof handOverSchema>;
+export type HandOverMessage = v.InferOutput<typeof handOverSchema>;
 /** See {@link loadSchema}. */
-export type Load = v.InferOutput<typeof loadSchema>;
+export type LoadMessage = v.InferOutput<typeof loadSchema>;
 /** See {@link failedSchema}. */
-export type Failed = v.InferOutput<typeof failedSchema>;
+export type FailedMessage = v.InferOutput<typeof failedSchema>;
 /** See {@link crashedSchema}. */
-export type Crashed = v.InferOutput<typeof crashedSchema>;
+export type CrashedMessage = v.InferOutput<typeof crashedSchema>;
--- a/packages/protocol/src/mod.ts
+++ b/packages/protocol/src/mod.ts
@@ -1,6 +1,6 @@
 /** The processes' own protocol: messages, frames and links. @module */
 export * from "./messages.ts";
-export { CONNECTION_HEADERS } from "./connection_headers.ts";
+export { HOP_BY_HOP_HEADERS } from "./hop_by_hop_headers.ts";
 export {
   encodeFrame,
   FRAME_HEADER_BYTES,
@@ -9,7 +9,7 @@
 } from "./frame_codec.ts";
 export type { MessageSchema } from "./frame_codec.ts";
 export { acceptLink, openLink } from "./handshake.ts";
-export type { OpenLink } from "./handshake.ts";
+export type { EstablishedLink } from "./handshake.ts";
 export { Link } from "./link.ts";
 export type { LinkTraffic } from "./link.ts";
 export { LinkError } from "./link_error.ts";
--- a/packages/protocol/test/handshake_test.ts
+++ b/packages/protocol/test/handshake_test.ts
@@ -3,9 +3,9 @@
 import type { AddressInfo, Socket } from "node:net";
 import t from "tap";
 import { acceptLink, openLink, PROTOCOL_VERSION } from "../src/mod.ts";
-import type { Hello } from "../src/mod.ts";
+import type { HelloMessage } from "../src/mod.ts";
 
-const hello: Hello = {
+const hello: HelloMessage = {
   type: "hello",
   protocolVersion: PROTOCOL_VERSION,
   role: "entry",
--- a/packages/store/src/claims/apply_operations.ts
+++ b/packages/store/src/claims/apply_operations.ts
@@ -9,7 +9,7 @@
   RecordOperation,
   ReleaseOperation,
 } from "./operation.ts";
-import { loadOutcome } from "./outcome.ts";
+import { loadOutcome } from "./recorded_response.ts";
 
 /** The shard after the batch. `answers` are those of the claims in it. */
 export type Applied = {
--- a/packages/store/src/claims/claim.ts
+++ b/packages/store/src/claims/claim.ts
@@ -1,6 +1,6 @@
 /** A non-idempotent request's claim as the service keeps it. @module */
 import * as v from "valibot";
-import { storedOutcomeSchema } from "./outcome.ts";
+import { storedOutcomeSchema } from "./recorded_response.ts";
 
 /**
  * Clocks of two processes are taken to agree within this bound (milliseconds).
--- a/packages/store/src/claims/claim_answer.ts
+++ b/packages/store/src/claims/claim_answer.ts
@@ -1,5 +1,5 @@
 /** What a process may do with a non-idempotent request. @module */
-import type { Outcome } from "./outcome.ts";
+import type { RecordedResponse } from "./recorded_response.ts";
 
 /** Held by the process that may dispatch the request, once. */
 export type HeldClaim = {
@@ -17,7 +17,7 @@
  */
 export type ClaimAnswer =
   | { kind: "claimed"; claim: HeldClaim }
-  | { kind: "done"; outcome: Outcome }
+  | { kind: "done"; outcome: RecordedResponse }
   | { kind: "running" }
   | { kind: "unknown" }
   | { kind: "reused" };
--- a/packages/store/src/claims/claim_ledger.ts
+++ b/packages/store/src/claims/claim_ledger.ts
@@ -16,9 +16,9 @@
 import { claimIdentity, shardOf, SHARDS } from "./claim_identity.ts";
 import type { ClaimKey } from "./claim_identity.ts";
 import { ClaimShard } from "./claim_shard.ts";
-import { claimCommitOptions, CommitPace } from "./commit_pace.ts";
-import { storeOutcome } from "./outcome.ts";
-import type { Outcome } from "./outcome.ts";
+import { claimCommitBudgetOptions, CommitPace } from "./commit_pace.ts";
+import { storeOutcome } from "./recorded_response.ts";
+import type { RecordedResponse } from "./recorded_response.ts";
 
 const DEFAULT_RETENTION = 24 * 60 * 60 * 1000;
 const DEFAULT_DURATION = 10 * 60 * 1000;
@@ -34,11 +34,11 @@
   /** Milliseconds that a service's outcomes are kept. */
   retention?: (service: string) => number;
   /** Writes of this process for each service; see `claimCommitOptions`. */
-  commits?: CallBudgetOptions;
+  commitBudget?: CallBudgetOptions;
   /** Milliseconds after which a claim fails closed. */
   claimTimeout?: number;
   /** Milliseconds that outcomes wait for company before they are written. */
-  settlementDelay?: number;
+  batchDelay?: number;
   /** Prefix of the keys. */
   prefix?: string;
   pause?: (duration: number) => Promise<void>;
@@ -109,7 +109,7 @@
    * Resolves once stored; the caller need not be kept waiting for it.
    */
   async record(
-    options: { claim: HeldClaim; outcome: Outcome | "unknown" },
+    options: { claim: HeldClaim; outcome: RecordedResponse | "unknown" },
   ): Promise<Result<void, PlatformError>> {
     const { claim, outcome } = options;
     const { service, identity, claimant } = claim;
@@ -131,7 +131,7 @@
   }
 
   /** Resolves when all outcomes and releases are stored or given up. */
-  async drained(): Promise<void> {
+  async waitForDrain(): Promise<void> {
     const shards = [...this.#services.values()].flat();
     await Promise.all(shards.map((shard) => shard.drained()));
   }
@@ -153,7 +153,7 @@
     store,
     retention = () => DEFAULT_RETENTION,
     claimTimeout = DEFAULT_CLAIM_TIMEOUT,
-    settlementDelay = DEFAULT_SETTLEMENT_DELAY,
+    batchDelay: settlementDelay = DEFAULT_SETTLEMENT_DELAY,
     prefix = "claims",
     pause = (duration) => sleep(duration),
     random = Math.random,
@@ -161,7 +161,7 @@
     wallClock = () => Date.now(),
   } = options;
   const budget = new CallBudget(
-    options.commits ?? claimCommitOptions(DEFAULT_FLEET_SIZE),
+    options.commitBudget ?? claimCommitBudgetOptions(DEFAULT_FLEET_SIZE),
   );
   const pace = new CommitPace({ budget, clock, pause });
   return Array.from({ length: SHARDS }, (_, index) =>
--- a/packages/store/src/claims/commit_batch.ts
+++ b/packages/store/src/claims/commit_batch.ts
@@ -1,7 +1,7 @@
 /** One batch of operations, written by compare-and-swap. @module */
 import { Result } from "true-myth/result";
 import { MAXIMUM_VALUE_BYTES } from "../key_value_store.ts";
-import type { Entry, KeyValueStore } from "../key_value_store.ts";
+import type { KeyValueEntry, KeyValueStore } from "../key_value_store.ts";
 import type { PlatformError } from "../platform_error.ts";
 import { applyOperations } from "./apply_operations.ts";
 import type { ClaimAnswer } from "./claim_answer.ts";
@@ -106,7 +106,7 @@
     return this.#see(entry.value);
   }
 
-  #see(entry: Entry | undefined): CachedHead | PlatformError {
+  #see(entry: KeyValueEntry | undefined): CachedHead | PlatformError {
     const head = entry === undefined ? EMPTY_HEAD : decodeHead(entry.value);
     if (head === undefined) {
       return this.#error("malformed", "the value holds no claims");
--- a/packages/store/src/claims/commit_pace.ts
+++ b/packages/store/src/claims/commit_pace.ts
@@ -16,7 +16,7 @@
  * The rate at which one process may call for its claims. Fewer commits carry
  * more claims each: a claim then waits longer, but the service is not overrun.
  */
-export function claimCommitOptions(fleetSize: number): CallBudgetOptions {
+export function claimCommitBudgetOptions(fleetSize: number): CallBudgetOptions {
   const entries = Math.max(1, fleetSize * ENTRY_SHARE);
   const share = FLEET_CALLS_PER_SECOND / entries;
   const perSecond = Math.min(
--- a/packages/store/src/claims/operation.ts
+++ b/packages/store/src/claims/operation.ts
@@ -1,5 +1,5 @@
 /** Changes of a shard that wait to be committed together. @module */
-import type { StoredOutcome } from "./outcome.ts";
+import type { StoredOutcome } from "./recorded_response.ts";
 
 /** Asks for the right to run. */
 export type ClaimOperation = {
--- a/packages/store/src/claims/outcome.ts
+++ b/packages/store/src/claims/recorded_response.ts
@@ -2,11 +2,11 @@
 import * as v from "valibot";
 
 /** Longer bodies are not kept; a resend then learns status and headers only. */
-export const MAXIMUM_BODY_BYTES = 8 * 1024;
+export const MAXIMUM_RECORDED_BODY_BYTES = 8 * 1024;
 const MAXIMUM_HEADER_BYTES = 2 * 1024;
 
 /** An answer that was given. `body` is absent when it was too long to keep. */
-export type Outcome = {
+export type RecordedResponse = {
   status: number;
   headers: Record<string, string>;
   body?: Uint8Array;
@@ -22,9 +22,10 @@
 export type StoredOutcome = v.InferOutput<typeof storedOutcomeSchema>;
 
 /** Cuts the outcome to what is kept. */
-export function storeOutcome(outcome: Outcome): StoredOutcome {
+export function storeOutcome(outcome: RecordedResponse): StoredOutcome {
   const { status, headers, body } = outcome;
-  const fits = body !== undefined && body.byteLength <= MAXIMUM_BODY_BYTES;
+  const fits = body !== undefined &&
+    body.byteLength <= MAXIMUM_RECORDED_BODY_BYTES;
   const headersFit = JSON.stringify(headers).length <= MAXIMUM_HEADER_BYTES;
   return {
     status,
@@ -34,7 +35,7 @@
 }
 
 /** The outcome as it was recorded. */
-export function loadOutcome(stored: StoredOutcome): Outcome {
+export function loadOutcome(stored: StoredOutcome): RecordedResponse {
   const { status, headers, body } = stored;
   return {
     status,
--- a/packages/store/src/faulty_key_value_store.ts
+++ b/packages/store/src/faulty_key_value_store.ts
@@ -2,7 +2,7 @@
 import { Result } from "true-myth/result";
 import { KeyValueStore } from "./key_value_store.ts";
 import type {
-  Entry,
+  KeyValueEntry,
   SwapOptions,
   SwapOutcome,
   WatchOptions,
@@ -28,7 +28,7 @@
   /** Faults of the coming writes, the next one first. */
   readonly writeFaults: WriteFault[] = [];
   /** Writes that reached the store. */
-  writes = 0;
+  writesReceived = 0;
   readonly #inner: KeyValueStore;
   readonly #late: SwapOptions[] = [];
 
@@ -37,7 +37,9 @@
     this.#inner = inner;
   }
 
-  override get(key: string): Promise<Result<Entry | undefined, PlatformError>> {
+  override get(
+    key: string,
+  ): Promise<Result<KeyValueEntry | undefined, PlatformError>> {
     return this.#unlessOutage("get", () => this.#inner.get(key));
   }
 
@@ -72,9 +74,9 @@
   }
 
   /** Lets the late writes arrive. */
-  async deliver(): Promise<void> {
+  async deliverLateWrites(): Promise<void> {
     for (const options of this.#late.splice(0)) {
-      this.writes += 1;
+      this.writesReceived += 1;
       await this.#inner.compareAndSwap(options);
     }
   }
@@ -89,7 +91,7 @@
     if (fault === "late_request" || fault === "lost_request") {
       return Result.err(lost());
     }
-    this.writes += 1;
+    this.writesReceived += 1;
     const outcome = await this.#inner.compareAndSwap(options);
     return fault === "lost_answer" ? Result.err(lost()) : outcome;
   }
--- a/packages/store/src/http_caller.ts
+++ b/packages/store/src/http_client.ts
@@ -40,7 +40,7 @@
 };
 
 /** A whole answer. */
-export type HttpAnswer = { status: number; etag: string; text: string };
+export type HttpResponse = { status: number; etag: string; text: string };
 
 type Failure = {
   code?: string;
@@ -51,7 +51,7 @@
 };
 
 /** Calls one service of the platform. */
-export class HttpCaller {
+export class HttpClient {
   #url: string;
   #timeout: number;
   #budget: CallBudget | undefined;
@@ -71,10 +71,15 @@
     });
   }
 
-  async call(call: HttpCall): Promise<Result<HttpAnswer, PlatformError>> {
+  async call(call: HttpCall): Promise<Result<HttpResponse, PlatformError>> {
     if (this.#budget !== undefined && !this.#budget.take(this.#clock())) {
       return Result.err(
-        this.error(call, "budget", "this process has used up its calls", "no"),
+        this.createError(
+          call,
+          "budget",
+          "this process has used up its calls",
+          "no",
+        ),
       );
     }
     try {
@@ -85,7 +90,7 @@
   }
 
   /** An error of this peer; `applied` is `"no"` for calls that only read. */
-  error(
+  createError(
     call: Pick<HttpCall, "step" | "method">,
     reason: PlatformErrorReason,
     detail: string,
@@ -102,19 +107,19 @@
   }
 
   /** The error of an answer with an unexpected status. */
-  unexpectedStatus(call: HttpCall, answer: HttpAnswer): PlatformError {
+  unexpectedStatusError(call: HttpCall, answer: HttpResponse): PlatformError {
     const detail = `status ${answer.status} ${answer.text.slice(0, 200)}`
       .trim();
     const refused = answer.status === 503 ||
       (answer.status >= 400 && answer.status < 500);
-    return this.error(call, "status", detail, refused ? "no" : "unknown");
+    return this.createError(call, "status", detail, refused ? "no" : "unknown");
   }
 
   async close(): Promise<void> {
     await this.#agent.destroy();
   }
 
-  async #send(call: HttpCall): Promise<HttpAnswer> {
+  async #send(call: HttpCall): Promise<HttpResponse> {
     const timer = new AnswerTimer({
       first: this.#timeout + (call.wait ?? 0),
       between: this.#timeout,
@@ -127,7 +132,7 @@
     }
   }
 
-  async #exchange(call: HttpCall, timer: AnswerTimer): Promise<HttpAnswer> {
+  async #exchange(call: HttpCall, timer: AnswerTimer): Promise<HttpResponse> {
     const answer = await request(this.#url + call.path, {
       dispatcher: this.#agent,
       method: call.method,
@@ -156,7 +161,7 @@
   #failed(call: HttpCall, failure: Failure): PlatformError {
     const applied = neverConnected(failure) ? "no" : "unknown";
     const detail = failure.message || failure.code || "no detail";
-    return this.error(call, reasonOf(failure), detail, applied);
+    return this.createError(call, reasonOf(failure), detail, applied);
   }
 }
 
--- a/packages/store/src/http_instance_list.ts
+++ b/packages/store/src/http_instance_list.ts
@@ -1,8 +1,8 @@
 /** The instance list over HTTP; see docs/platform-protocol.md. @module */
 import { Result } from "true-myth/result";
 import * as v from "valibot";
-import { HttpCaller } from "./http_caller.ts";
-import type { HttpCall, HttpServiceOptions } from "./http_caller.ts";
+import { HttpClient } from "./http_client.ts";
+import type { HttpCall, HttpServiceOptions } from "./http_client.ts";
 import { InstanceList, instanceSchema } from "./instance_list.ts";
 import type { Instance } from "./instance_list.ts";
 import type { PlatformError } from "./platform_error.ts";
@@ -11,11 +11,11 @@
 
 /** Calls an instance list; construct one per process and close it at the end. */
 export class HttpInstanceList extends InstanceList {
-  #caller: HttpCaller;
+  #caller: HttpClient;
 
   constructor(options: HttpServiceOptions) {
     super();
-    this.#caller = new HttpCaller(options);
+    this.#caller = new HttpClient(options);
   }
 
   override async list(): Promise<Result<Instance[], PlatformError>> {
@@ -27,12 +27,17 @@
     const answer = await this.#caller.call(call);
     return answer.andThen((answer): Result<Instance[], PlatformError> => {
       if (answer.status !== 200) {
-        return Result.err(this.#caller.unexpectedStatus(call, answer));
+        return Result.err(this.#caller.unexpectedStatusError(call, answer));
       }
       const instances = parseList(answer.text);
       return instances === undefined
         ? Result.err(
-          this.#caller.error(call, "malformed", "no list of instances", "no"),
+          this.#caller.createError(
+            call,
+            "malformed",
+            "no list of instances",
+            "no",
+          ),
         )
         : Result.ok(instances);
     });
@@ -66,7 +71,7 @@
     return answer.andThen((answer): Result<void, PlatformError> =>
       answer.status === 204
         ? Result.ok(undefined)
-        : Result.err(this.#caller.unexpectedStatus(call, answer))
+        : Result.err(this.#caller.unexpectedStatusError(call, answer))
     );
   }
 }
--- a/packages/store/src/http_key_value_store.ts
+++ b/packages/store/src/http_key_value_store.ts
@@ -1,15 +1,15 @@
 /** The key-value service over HTTP; see docs/platform-protocol.md. @module */
 import { Result } from "true-myth/result";
 import * as v from "valibot";
-import { HttpCaller } from "./http_caller.ts";
+import { HttpClient } from "./http_client.ts";
 import type {
-  HttpAnswer,
   HttpCall,
+  HttpResponse,
   HttpServiceOptions,
-} from "./http_caller.ts";
+} from "./http_client.ts";
 import { KeyValueStore, MAXIMUM_VALUE_BYTES } from "./key_value_store.ts";
 import type {
-  Entry,
+  KeyValueEntry,
   SwapOptions,
   SwapOutcome,
   WatchOptions,
@@ -21,16 +21,16 @@
 
 /** Calls a key-value service; construct one per process and close it at the end. */
 export class HttpKeyValueStore extends KeyValueStore {
-  #caller: HttpCaller;
+  #caller: HttpClient;
 
   constructor(options: HttpServiceOptions) {
     super();
-    this.#caller = new HttpCaller(options);
+    this.#caller = new HttpClient(options);
   }
 
   override async get(
     key: string,
-  ): Promise<Result<Entry | undefined, PlatformError>> {
+  ): Promise<Result<KeyValueEntry | undefined, PlatformError>> {
     const call: HttpCall = { step: "get", method: "GET", path: keyPath(key) };
     const answer = await this.#caller.call(call);
     return answer.andThen((answer) => this.#found(call, answer));
@@ -62,7 +62,9 @@
     if (size > MAXIMUM_VALUE_BYTES) {
       const detail =
         `${size} bytes, at most ${MAXIMUM_VALUE_BYTES} fit a value`;
-      return Result.err(this.#caller.error(call, "too_large", detail, "no"));
+      return Result.err(
+        this.#caller.createError(call, "too_large", detail, "no"),
+      );
     }
     const answer = await this.#caller.call(call);
     return answer.andThen((answer) => this.#swapOutcome(call, answer));
@@ -97,7 +99,7 @@
       }
       return answer.status === 200
         ? Result.ok(true)
-        : Result.err(this.#caller.unexpectedStatus(call, answer));
+        : Result.err(this.#caller.unexpectedStatusError(call, answer));
     });
   }
 
@@ -113,7 +115,7 @@
     return answer.andThen((answer): Result<void, PlatformError> =>
       answer.status === 204 || answer.status === 404
         ? Result.ok(undefined)
-        : Result.err(this.#caller.unexpectedStatus(call, answer))
+        : Result.err(this.#caller.unexpectedStatusError(call, answer))
     );
   }
 
@@ -124,26 +126,26 @@
 
   #found(
     call: HttpCall,
-    answer: HttpAnswer,
-  ): Result<Entry | undefined, PlatformError> {
+    answer: HttpResponse,
+  ): Result<KeyValueEntry | undefined, PlatformError> {
     if (answer.status === 404) {
       return Result.ok(undefined);
     }
     return answer.status === 200
       ? this.#entry(call, answer)
-      : Result.err(this.#caller.unexpectedStatus(call, answer));
+      : Result.err(this.#caller.unexpectedStatusError(call, answer));
   }
 
   #swapOutcome(
     call: HttpCall,
-    answer: HttpAnswer,
+    answer: HttpResponse,
   ): Result<SwapOutcome, PlatformError> {
     if (answer.status === 200) {
       return this.#revision(call, answer)
         .map((revision) => ({ swapped: true, revision }));
     }
     if (answer.status !== 412) {
-      return Result.err(this.#caller.unexpectedStatus(call, answer));
+      return Result.err(this.#caller.unexpectedStatusError(call, answer));
     }
     return this.#entry(call, answer).map((entry) => ({
       swapped: false,
@@ -151,32 +153,41 @@
     }));
   }
 
-  #entry(call: HttpCall, answer: HttpAnswer): Result<Entry, PlatformError> {
+  #entry(
+    call: HttpCall,
+    answer: HttpResponse,
+  ): Result<KeyValueEntry, PlatformError> {
     return this.#revision(call, answer)
       .map((revision) => ({ value: answer.text, revision }));
   }
 
-  #revision(call: HttpCall, answer: HttpAnswer): Result<number, PlatformError> {
+  #revision(
+    call: HttpCall,
+    answer: HttpResponse,
+  ): Result<number, PlatformError> {
     const digits = /^"(\d{1,15})"$/.exec(answer.etag)?.[1];
     if (digits === undefined) {
       const detail = `the answer's ETag "${answer.etag}" is no revision`;
       return Result.err(
-        this.#caller.error(call, "malformed", detail, "unknown"),
+        this.#caller.createError(call, "malformed", detail, "unknown"),
       );
     }
     return Result.ok(Number(digits));
   }
 
-  #leaseOf(call: HttpCall, answer: HttpAnswer): Result<string, PlatformError> {
+  #leaseOf(
+    call: HttpCall,
+    answer: HttpResponse,
+  ): Result<string, PlatformError> {
     if (answer.status !== 201) {
-      return Result.err(this.#caller.unexpectedStatus(call, answer));
+      return Result.err(this.#caller.unexpectedStatusError(call, answer));
     }
     try {
       return Result.ok(v.parse(leaseSchema, JSON.parse(answer.text)).lease);
     } catch {
       const detail = "the answer names no lease";
       return Result.err(
-        this.#caller.error(call, "malformed", detail, "unknown"),
+        this.#caller.createError(call, "malformed", detail, "unknown"),
       );
     }
   }
--- a/packages/store/src/key_value_store.ts
+++ b/packages/store/src/key_value_store.ts
@@ -10,7 +10,7 @@
 export const MAXIMUM_VALUE_BYTES = 1024 * 1024;
 
 /** A stored value. `revision` grows with every write of the key; 0 is absent. */
-export type Entry = { value: string; revision: number };
+export type KeyValueEntry = { value: string; revision: number };
 
 /** A write that happens only if the key is unchanged. */
 export type SwapOptions = {
@@ -25,14 +25,14 @@
 /** What became of a compare-and-swap. */
 export type SwapOutcome =
   | { swapped: true; revision: number }
-  | { swapped: false; current: Entry | undefined };
+  | { swapped: false; current: KeyValueEntry | undefined };
 
 /** Waits for a key to change; `wait` in milliseconds. */
 export type WatchOptions = { key: string; after: number; wait: number };
 
 /** What a watch saw: the key as it is now, or that nothing happened. */
 export type WatchOutcome =
-  | { changed: true; entry: Entry | undefined }
+  | { changed: true; entry: KeyValueEntry | undefined }
   | { changed: false };
 
 /**
@@ -40,7 +40,9 @@
  * service may have taken it and lost the answer. Callers read back.
  */
 export abstract class KeyValueStore {
-  abstract get(key: string): Promise<Result<Entry | undefined, PlatformError>>;
+  abstract get(
+    key: string,
+  ): Promise<Result<KeyValueEntry | undefined, PlatformError>>;
 
   /** Writes `value` only if the key's revision is still `expected` (0: absent). */
   abstract compareAndSwap(
--- a/packages/store/src/memory_key_value_store.ts
+++ b/packages/store/src/memory_key_value_store.ts
@@ -6,7 +6,7 @@
 import { Result } from "true-myth/result";
 import { KeyValueStore, MAXIMUM_VALUE_BYTES } from "./key_value_store.ts";
 import type {
-  Entry,
+  KeyValueEntry,
   SwapOptions,
   SwapOutcome,
   WatchOptions,
@@ -14,7 +14,7 @@
 } from "./key_value_store.ts";
 import type { PlatformError } from "./platform_error.ts";
 
-type StoredEntry = Entry & { lease?: string };
+type StoredEntry = KeyValueEntry & { lease?: string };
 type Lease = { duration: number; lapsesAt: number };
 
 /** A copy of the whole state, to restore an older one in a test. */
@@ -37,7 +37,9 @@
     this.#clock = options.clock ?? (() => performance.now());
   }
 
-  override get(key: string): Promise<Result<Entry | undefined, PlatformError>> {
+  override get(
+    key: string,
+  ): Promise<Result<KeyValueEntry | undefined, PlatformError>> {
     return Promise.resolve(Result.ok(this.#current(key)));
   }
 
@@ -114,7 +116,7 @@
     this.#wake();
   }
 
-  #current(key: string): Entry | undefined {
+  #current(key: string): KeyValueEntry | undefined {
     this.#lapse();
     const entry = this.#entries.get(key);
     return entry && { value: entry.value, revision: entry.revision };
--- a/packages/store/src/memory_metadata_store.ts
+++ b/packages/store/src/memory_metadata_store.ts
@@ -19,12 +19,12 @@
 
 type Held = StoredItem & { lease: number };
 
-/** Holds everything in memory; {@link MemoryMetadataStore.down} makes calls fail. */
+/** Holds everything in memory; {@link MemoryMetadataStore.outage} makes calls fail. */
 export class MemoryMetadataStore extends MetadataStore {
   /** While true, every call fails as unreachable. */
-  down = false;
+  outage = false;
   /** While true, no watch is told of a change. */
-  deaf = false;
+  withholdsChanges = false;
   readonly #items = new Map<string, Held>();
   readonly #history: ItemChange[] = [];
   readonly #leases = new Set<number>();
@@ -46,7 +46,7 @@
   }
 
   /** Cuts the watches that wait. */
-  cut(): void {
+  abortWatches(): void {
     this.#cuts++;
   }
 
@@ -63,7 +63,7 @@
     prefix: string,
     after = "",
   ): Promise<Result<ItemPage, PlatformError>> {
-    if (this.down) return Promise.resolve(this.#unreachable("read page"));
+    if (this.outage) return Promise.resolve(this.#unreachable("read page"));
     const all = [...this.#items.values()]
       .filter(({ key }) => key.startsWith(prefix) && key > after)
       .sort((one, other) => one.key < other.key ? -1 : 1);
@@ -79,7 +79,7 @@
     const { prefix, after, wait, signal } = options;
     const cuts = this.#cuts;
     for (let waited = 0; waited <= wait; waited += WATCH_SLICE) {
-      const lost = this.down || signal?.aborted || cuts !== this.#cuts;
+      const lost = this.outage || signal?.aborted || cuts !== this.#cuts;
       if (lost) return this.#unreachable("watch");
       const changes = this.#changesBelow(prefix, after);
       if (changes.length > 0) return Result.ok(this.#told(changes, after));
@@ -89,7 +89,7 @@
   }
 
   #changesBelow(prefix: string, after: number): ItemChange[] {
-    if (this.deaf) return [];
+    if (this.withholdsChanges) return [];
     return this.#history.filter((change) =>
       revisionOf(change) > after && keyOf(change).startsWith(prefix)
     );
@@ -104,24 +104,24 @@
   override transact(
     transaction: Transaction,
   ): Promise<Result<TransactionOutcome, PlatformError>> {
-    if (this.down) return Promise.resolve(this.#unreachable("transact"));
+    if (this.outage) return Promise.resolve(this.#unreachable("transact"));
     return Promise.resolve(Result.ok(this.#transact(transaction)));
   }
 
   override grantLease(): Promise<Result<number, PlatformError>> {
-    if (this.down) return Promise.resolve(this.#unreachable("grant lease"));
+    if (this.outage) return Promise.resolve(this.#unreachable("grant lease"));
     const lease = ++this.#revision;
     this.#leases.add(lease);
     return Promise.resolve(Result.ok(lease));
   }
 
   override renewLease(lease: number): Promise<Result<boolean, PlatformError>> {
-    if (this.down) return Promise.resolve(this.#unreachable("renew lease"));
+    if (this.outage) return Promise.resolve(this.#unreachable("renew lease"));
     return Promise.resolve(Result.ok(this.#leases.has(lease)));
   }
 
-  override endLease(lease: number): Promise<Result<void, PlatformError>> {
-    if (this.down) return Promise.resolve(this.#unreachable("end lease"));
+  override revokeLease(lease: number): Promise<Result<void, PlatformError>> {
+    if (this.outage) return Promise.resolve(this.#unreachable("end lease"));
     this.lapse(lease);
     return Promise.resolve(Result.ok(undefined));
   }
--- a/packages/store/src/metadata_store.ts
+++ b/packages/store/src/metadata_store.ts
@@ -79,5 +79,5 @@
   /** Extends a lease; `false` once it has lapsed. */
   abstract renewLease(lease: number): Promise<Result<boolean, PlatformError>>;
 
-  abstract endLease(lease: number): Promise<Result<void, PlatformError>>;
+  abstract revokeLease(lease: number): Promise<Result<void, PlatformError>>;
 }
--- a/packages/store/src/mod.ts
+++ b/packages/store/src/mod.ts
@@ -1,7 +1,7 @@
 /** The platform's services: abstract classes and their HTTP implementations. @module */
 export { KeyValueStore, MAXIMUM_VALUE_BYTES } from "./key_value_store.ts";
 export type {
-  Entry,
+  KeyValueEntry,
   SwapOptions,
   SwapOutcome,
   WatchOptions,
@@ -18,15 +18,15 @@
   TransactionOutcome,
   WatchPrefixOptions,
 } from "./metadata_store.ts";
-export { HttpCaller } from "./http_caller.ts";
-export type { HttpAnswer, HttpCall } from "./http_caller.ts";
+export { HttpClient } from "./http_client.ts";
+export type { HttpCall, HttpResponse } from "./http_client.ts";
 export { InstanceList, instanceSchema } from "./instance_list.ts";
 export type { Instance } from "./instance_list.ts";
 export { describePlatformError } from "./platform_error.ts";
 export type { PlatformError, PlatformErrorReason } from "./platform_error.ts";
 export { CallBudget, callBudgetOptions } from "./call_budget.ts";
 export type { CallBudgetOptions } from "./call_budget.ts";
-export type { HttpServiceOptions } from "./http_caller.ts";
+export type { HttpServiceOptions } from "./http_client.ts";
 export { HttpKeyValueStore } from "./http_key_value_store.ts";
 export { HttpInstanceList } from "./http_instance_list.ts";
 export { MemoryKeyValueStore } from "./memory_key_value_store.ts";
@@ -48,6 +48,6 @@
 } from "./claims/claim_ledger.ts";
 export type { ClaimAnswer, HeldClaim } from "./claims/claim_answer.ts";
 export type { ClaimKey } from "./claims/claim_identity.ts";
-export { MAXIMUM_BODY_BYTES } from "./claims/outcome.ts";
-export type { Outcome } from "./claims/outcome.ts";
-export { claimCommitOptions } from "./claims/commit_pace.ts";
+export { MAXIMUM_RECORDED_BODY_BYTES } from "./claims/recorded_response.ts";
+export type { RecordedResponse } from "./claims/recorded_response.ts";
+export { claimCommitBudgetOptions } from "./claims/commit_pace.ts";
--- a/packages/store/test/claims/claim_ledger_test.ts
+++ b/packages/store/test/claims/claim_ledger_test.ts
@@ -77,7 +77,7 @@
     store.writeFaults.push(fault, fault);
     const ledger = ledgerOn(store, "entry-1");
     held(await ledger.claim(requestWith()));
-    await store.deliver();
+    await store.deliverLateWrites();
     t.match(await ledger.claim(requestWith()), { value: { kind: "running" } });
   }
 });
@@ -92,12 +92,12 @@
   store.outage = false;
   const arrivals = {
     "before the release": async () => {
-      await store.deliver();
-      await ledger.drained();
+      await store.deliverLateWrites();
+      await ledger.waitForDrain();
     },
     "after the release": async () => {
-      await ledger.drained();
-      await store.deliver();
+      await ledger.waitForDrain();
+      await store.deliverLateWrites();
     },
   };
   for (const [key, arrive] of Object.entries(arrivals)) {
@@ -138,7 +138,7 @@
     error: { reason: "timeout", applied: "unknown" },
   });
   answer();
-  await ledger.drained();
+  await ledger.waitForDrain();
   held(await ledgerOn(store, "entry-2").claim(requestWith()));
 });
 
@@ -154,8 +154,8 @@
       answer.map(({ kind }) => kind).unwrapOr("running") === "claimed"
     ),
   );
-  t.comment(`${store.writes} writes for ${keys.length} claims`);
-  t.ok(store.writes <= 2 * 4);
+  t.comment(`${store.writesReceived} writes for ${keys.length} claims`);
+  t.ok(store.writesReceived <= 2 * 4);
 });
 
 t.test("one service's flood leaves the others' claims alone", async (t) => {
@@ -188,7 +188,7 @@
     const claim = held(await ledger.claim(requestWith({ key })));
     void ledger.record({ claim, outcome: { ...outcome, body } });
   }
-  await ledger.drained();
+  await ledger.waitForDrain();
   t.comment(`largest value ${largest} bytes`);
   t.ok(largest < MAXIMUM_VALUE_BYTES / 2);
   const later = ledgerOn(store, "entry-2");
--- a/packages/store/test/claims/claim_races_test.ts
+++ b/packages/store/test/claims/claim_races_test.ts
@@ -12,7 +12,7 @@
   MemoryKeyValueStore,
 } from "../../src/mod.ts";
 import type {
-  Entry,
+  KeyValueEntry,
   PlatformError,
   SwapOptions,
   SwapOutcome,
@@ -62,7 +62,7 @@
 
   override async get(
     key: string,
-  ): Promise<Result<Entry | undefined, PlatformError>> {
+  ): Promise<Result<KeyValueEntry | undefined, PlatformError>> {
     await this.turn();
     const entry = await this.#inner.get(key);
     await this.turn();
@@ -217,7 +217,7 @@
     new ClaimLedger({
       store,
       incarnation,
-      commits: { perSecond: 1e9, burst: 1e9 },
+      commitBudget: { perSecond: 1e9, burst: 1e9 },
       claimTimeout: CLAIM_TIMEOUT,
       pause: (duration) =>
         turns(store, duration === CLAIM_TIMEOUT ? timeoutTurns : 1),
@@ -235,7 +235,7 @@
         run: `run-${index}`,
       })
     ),
-  ).then(() => Promise.all(ledgers.map((ledger) => ledger.drained())));
+  ).then(() => Promise.all(ledgers.map((ledger) => ledger.waitForDrain())));
   await scheduler.waitFor(done);
   return history;
 }
--- a/packages/store/test/claims/example.ts
+++ b/packages/store/test/claims/example.ts
@@ -22,7 +22,7 @@
   return new ClaimLedger({
     store,
     incarnation,
-    commits: { perSecond: 1e9, burst: 1e9 },
+    commitBudget: { perSecond: 1e9, burst: 1e9 },
     claimTimeout: CLAIM_TIMEOUT,
     random: () => 0.5,
     wallClock: () => NOW,
--- a/packages/testing/src/caller/caller.ts
+++ b/packages/testing/src/caller/caller.ts
@@ -1,7 +1,7 @@
 /** A caller of an entry that records each of its calls. @module */
 import { Agent, request } from "undici";
 import type { CallOutcome, CallRecord } from "../history/call_record.ts";
-import { readOutcome } from "./answer_reader.ts";
+import { readOutcome } from "./response_reader.ts";
 
 /** One call to make. */
 export type Call = {
@@ -74,7 +74,7 @@
   }
 
   /** Calls a path of a plain service. */
-  plain(call: PlainCall): Promise<CallOutcome> {
+  callPlainService(call: PlainCall): Promise<CallOutcome> {
     const body = { note: `#${call.marker}#`, ...call.body };
     return this.#record(call, {
       method: call.method,
--- a/packages/testing/src/checks/not_run_truth.ts
+++ b/packages/testing/src/checks/not_run_refusals.ts
@@ -8,7 +8,7 @@
  * runs must have been read after the last call ended and the servers were idle,
  * else a run that starts later is missed.
  */
-export function checkNotRunTruth(
+export function checkNotRunRefusals(
   calls: CallRecord[],
   runs: RunRecord[],
 ): Violation[] {
--- a/packages/testing/src/demo/counters.ts
+++ b/packages/testing/src/demo/counters.ts
@@ -10,7 +10,7 @@
   for (const entry of fleet.entries) {
     await showDaemon(entry);
   }
-  for (const { sidecar } of fleet.pairs) {
+  for (const { sidecar } of fleet.backends) {
     await showDaemon(sidecar);
   }
 }
--- a/packages/testing/src/demo/print.ts
+++ b/packages/testing/src/demo/print.ts
@@ -9,7 +9,7 @@
 export function printProcesses(fleet: Fleet): void {
   printProcess("key-value service", fleet.keyValueStore.url);
   printProcess("instance list", fleet.instanceList.url);
-  for (const { server, sidecar } of fleet.pairs) {
+  for (const { server, sidecar } of fleet.backends) {
     printProcess(sidecar.settings.instance, `beside ${server.url}`);
   }
   for (const entry of fleet.entries) {
--- a/packages/testing/src/demo/requests.ts
+++ b/packages/testing/src/demo/requests.ts
@@ -46,16 +46,20 @@
   await show(
     fleet,
     "booking",
-    (marker) => caller.plain({ marker, ...booking }),
+    (marker) => caller.callPlainService({ marker, ...booking }),
   );
   printStep("Sent again through the other entry, as an unsure caller would:");
-  await show(fleet, "booking", (marker) => other.plain({ marker, ...booking }));
+  await show(
+    fleet,
+    "booking",
+    (marker) => other.callPlainService({ marker, ...booking }),
+  );
 }
 
 async function showRefusals(fleet: Fleet, caller: Caller): Promise<void> {
   printStep("Refused: a booking without an Idempotency-Key:");
   await show(fleet, "unkeyed", (marker) =>
-    caller.plain({
+    caller.callPlainService({
       marker,
       service: "bookings",
       method: "POST",
@@ -94,7 +98,7 @@
   runs: { server: string; marker?: string | undefined }[],
 ): { server: string; options: string }[] {
   const speeds = new Map(
-    fleet.pairs.filter(({ backend }) => backend.kind === "model")
+    fleet.backends.filter(({ backend }) => backend.kind === "model")
       .map(({ backend, name }) => [name, backend.options?.["speed"]]),
   );
   return [...speeds].map(([server, speed]) => {
--- a/packages/testing/src/fleet/daemon_process.ts
+++ b/packages/testing/src/fleet/daemon_process.ts
@@ -36,7 +36,7 @@
       JSON.stringify(settings, undefined, 2),
     );
     const process = launchDaemon(file);
-    const ready = await process.waitForLine("ready");
+    const ready = await process.waitForMessage("ready");
     const ports = ready["context"] as Record<string, unknown>;
     return new DaemonProcess(process, settings, ports);
   }
--- a/packages/testing/src/fleet/emulated_process.ts
+++ b/packages/testing/src/fleet/emulated_process.ts
@@ -36,7 +36,7 @@
         `--${hyphenated(name)}=${value}`
       ),
     ]);
-    const ready = await process.waitForLine("ready");
+    const ready = await process.waitForMessage("ready");
     return new EmulatedProcess(process, String(ready["url"]));
   }
 
--- a/packages/testing/src/fleet/example_objects.ts
+++ b/packages/testing/src/fleet/example_objects.ts
@@ -1,12 +1,12 @@
 /** A small configuration for tests and the demonstration. @module */
-import type { Objects } from "@sycamorepulley/configuration";
+import type { ConfigurationObjects } from "@sycamorepulley/configuration";
 import { createHash } from "node:crypto";
 
 /** Bearer token of the example organisation. */
 export const EXAMPLE_TOKEN = "example-token";
 
 /** An assistant on model engines and a booking desk, for one organisation. */
-export function exampleObjects(): Objects {
+export function exampleObjects(): ConfigurationObjects {
   return {
     tiers: [
       { name: "urgent", rank: 0, defaultDeadline: 30_000 },
--- a/packages/testing/src/fleet/fleet.ts
+++ b/packages/testing/src/fleet/fleet.ts
@@ -1,5 +1,5 @@
 /** A small fleet of real processes on loopback. @module */
-import type { Objects } from "@sycamorepulley/configuration";
+import type { ConfigurationObjects } from "@sycamorepulley/configuration";
 import { Caller } from "../caller/caller.ts";
 import type { RunRecord } from "../history/run_record.ts";
 import { TemporaryDirectory } from "../process/temporary_directory.ts";
@@ -21,7 +21,7 @@
 };
 
 /** A launched backend server and its sidecar. */
-export type Pair = {
+export type LaunchedBackend = {
   /** Name of the server in its answers and history. */
   name: string;
   backend: BackendOptions;
@@ -33,7 +33,7 @@
 export type FleetOptions = {
   entries?: number;
   backends: BackendOptions[];
-  objects?: Objects;
+  objects?: ConfigurationObjects;
 };
 
 /** Launched processes; `stop` ends them all. */
@@ -41,7 +41,7 @@
   readonly keyValueStore: EmulatedProcess;
   readonly instanceList: EmulatedProcess;
   readonly entries: DaemonProcess[] = [];
-  readonly pairs: Pair[] = [];
+  readonly backends: LaunchedBackend[] = [];
   readonly #directory: TemporaryDirectory;
   readonly #callers: Caller[] = [];
 
@@ -66,7 +66,7 @@
     try {
       await fleet.#startDaemons(options);
     } catch (error) {
-      await fleet.stop();
+      await fleet.kill();
       throw error;
     }
     return fleet;
@@ -80,8 +80,8 @@
   }
 
   /** Launches a backend server and, once it listens, its sidecar. */
-  async addPair(backend: BackendOptions): Promise<Pair> {
-    const number = this.pairs.length + 1;
+  async addBackend(backend: BackendOptions): Promise<LaunchedBackend> {
+    const number = this.backends.length + 1;
     const name = `${backend.service}-server-${number}`;
     const emulator = backend.kind === "model" ? "engine" : "plain";
     const server = await EmulatedProcess.launch(emulator, {
@@ -97,7 +97,7 @@
     });
     const sidecar = await DaemonProcess.launch(settings, this.#directory);
     const pair = { name, backend, server, sidecar };
-    this.pairs.push(pair);
+    this.backends.push(pair);
     return pair;
   }
 
@@ -123,8 +123,8 @@
   /** What all live backend servers have seen. */
   async runs(): Promise<RunRecord[]> {
     const histories = await Promise.all(
-      this.pairs
-        .filter(({ server }) => !server.process.hasEnded)
+      this.backends
+        .filter(({ server }) => !server.process.hasExited)
         .map(({ server }) => server.records()),
     );
     return histories.flat();
@@ -133,16 +133,18 @@
   /** Stops gracefully, entries first, so that nothing is cut. */
   async shutDown(): Promise<void> {
     await Promise.all(this.entries.map(({ process }) => process.stop()));
-    await Promise.all(this.pairs.map(({ sidecar }) => sidecar.process.stop()));
-    await this.stop();
+    await Promise.all(
+      this.backends.map(({ sidecar }) => sidecar.process.stop()),
+    );
+    await this.kill();
   }
 
   /** Ends every process at once. */
-  async stop(): Promise<void> {
+  async kill(): Promise<void> {
     await Promise.all(this.#callers.map((caller) => caller.close()));
     const processes = [
       ...this.entries,
-      ...this.pairs.flatMap(({ sidecar, server }) => [sidecar, server]),
+      ...this.backends.flatMap(({ sidecar, server }) => [sidecar, server]),
       this.keyValueStore,
       this.instanceList,
     ];
@@ -154,13 +156,13 @@
     const objects = options.objects ?? exampleObjects();
     await publishObjects(this.keyValueStore.url, objects);
     for (const backend of options.backends) {
-      await this.addPair(backend);
+      await this.addBackend(backend);
     }
     for (let entry = 0; entry < (options.entries ?? 1); entry++) {
       await this.addEntry();
     }
     const daemons = [
-      ...this.pairs.map(({ sidecar }) => sidecar),
+      ...this.backends.map(({ sidecar }) => sidecar),
       ...this.entries,
     ];
     await Promise.all(daemons.map((daemon) => daemon.waitUntilReady()));
--- a/packages/testing/src/fleet/move_fleet.ts
+++ b/packages/testing/src/fleet/move_fleet.ts
@@ -1,13 +1,13 @@
 /** A fleet in which one service moves from one version to the next. @module */
-import type { Move, Objects } from "@sycamorepulley/configuration";
+import type { ConfigurationObjects, Move } from "@sycamorepulley/configuration";
 import { waitFor } from "../process/wait_for.ts";
 import type { DaemonProcess } from "./daemon_process.ts";
 import { exampleObjects } from "./example_objects.ts";
 import { Fleet } from "./fleet.ts";
-import type { Pair } from "./fleet.ts";
+import type { LaunchedBackend } from "./fleet.ts";
 
 /** What an entry says of the move. */
-export type MoveStanding = { state: string; share: number; detail: string };
+export type MoveStatus = { state: string; share: number; detail: string };
 
 /** Calls in flight at a time while a move is fed. */
 const CALLERS = 4;
@@ -15,13 +15,13 @@
 /** Two servers of the old version and one of the new, two entries. */
 export class MoveFleet {
   readonly fleet: Fleet;
-  readonly newPair: Pair;
+  readonly newBackend: LaunchedBackend;
   #feeding = true;
   #calls = 0;
 
   private constructor(fleet: Fleet) {
     this.fleet = fleet;
-    this.newPair = fleet.pairs.at(-1)!;
+    this.newBackend = fleet.backends.at(-1)!;
   }
 
   /** Starts the fleet with a move that ends `duration` ms from now. */
@@ -40,13 +40,13 @@
   }
 
   /** Calls both entries without a pause until {@link stop}. */
-  feed(): Promise<void> {
+  sendCalls(): Promise<void> {
     const feeders = Array.from({ length: CALLERS }, async (_, number) => {
       const entry = this.fleet.entries[number % this.fleet.entries.length];
       const caller = this.fleet.caller(entry);
       while (this.#feeding) {
         this.#calls += 1;
-        await caller.plain({
+        await caller.callPlainService({
           marker: `call-${this.#calls}`,
           service: "bookings",
           method: "GET",
@@ -63,12 +63,12 @@
   }
 
   /** Calls that the new version's server has seen. */
-  async callsOfNew(): Promise<number> {
-    return (await this.newPair.server.records()).length;
+  async countCallsToNewVersion(): Promise<number> {
+    return (await this.newBackend.server.records()).length;
   }
 
   /** Waits until an entry says that the move has ended; how it ended. */
-  ended(entry: DaemonProcess, timeout: number): Promise<MoveStanding> {
+  waitForEnd(entry: DaemonProcess, timeout: number): Promise<MoveStatus> {
     return waitFor("the move to end", async () => {
       const move = await standing(entry);
       return move?.state === "complete" || move?.state === "taken_back"
@@ -78,7 +78,7 @@
   }
 
   /** Waits until an entry sends a share to the new version. */
-  begun(entry: DaemonProcess): Promise<MoveStanding> {
+  waitForStart(entry: DaemonProcess): Promise<MoveStatus> {
     return waitFor("the move to begin", async () => {
       const move = await standing(entry);
       return move && move.share > 0 ? move : undefined;
@@ -86,12 +86,12 @@
   }
 
   /** The entry that drives the move, by its own log. */
-  driver(): Promise<DaemonProcess> {
+  waitForDriver(): Promise<DaemonProcess> {
     return waitFor(
       "a driver",
       () =>
         this.fleet.entries.find(({ process }) =>
-          !process.hasEnded && process.output.includes("driving move")
+          !process.hasExited && process.output.includes("driving move")
         ),
     );
   }
@@ -99,18 +99,18 @@
   /** Ends the feeding and every process. */
   async stop(): Promise<void> {
     this.#feeding = false;
-    await this.fleet.stop();
+    await this.fleet.kill();
   }
 }
 
 async function standing(
   entry: DaemonProcess,
-): Promise<MoveStanding | undefined> {
-  const { moves } = await entry.status() as { moves?: MoveStanding[] };
+): Promise<MoveStatus | undefined> {
+  const { moves } = await entry.status() as { moves?: MoveStatus[] };
   return moves?.[0];
 }
 
-function objectsWithMove(duration: number): Objects {
+function objectsWithMove(duration: number): ConfigurationObjects {
   const objects = exampleObjects();
   const move: Move = {
     name: "bookings-to-2",
--- a/packages/testing/src/fleet/publish_objects.ts
+++ b/packages/testing/src/fleet/publish_objects.ts
@@ -1,13 +1,13 @@
 /** Publishing configuration into an emulated key-value service. @module */
 import { publish } from "@sycamorepulley/configuration";
-import type { Objects } from "@sycamorepulley/configuration";
+import type { ConfigurationObjects } from "@sycamorepulley/configuration";
 import { HttpKeyValueStore } from "@sycamorepulley/store";
 import { randomUUID } from "node:crypto";
 
 /** Publishes a checked set; resolves to its revision. */
 export async function publishObjects(
   keyValueStoreUrl: string,
-  objects: Objects,
+  objects: ConfigurationObjects,
   baseRevision = 0,
 ): Promise<number> {
   const store = new HttpKeyValueStore({ url: keyValueStoreUrl });
--- a/packages/testing/src/measure/main.ts
+++ b/packages/testing/src/measure/main.ts
@@ -26,5 +26,5 @@
     console.log(`written to ${PAGE}`);
   }
 } finally {
-  await path.fleet.stop();
+  await path.fleet.kill();
 }
--- a/packages/testing/src/measure/measure_fleet.ts
+++ b/packages/testing/src/measure/measure_fleet.ts
@@ -31,7 +31,7 @@
     }],
   });
   const [entry] = fleet.entries;
-  const [pair] = fleet.pairs;
+  const [pair] = fleet.backends;
   if (entry === undefined || pair === undefined) {
     throw new Error("the fleet started without its daemons");
   }
--- a/packages/testing/src/measure/measure_latency.ts
+++ b/packages/testing/src/measure/measure_latency.ts
@@ -105,7 +105,7 @@
     seconds,
     seed,
     mix: parseMix("stream=1"),
-    shape: {
+    requestOptions: {
       model: "assistant",
       bookingService: "bookings",
       promptTokens: PROMPT_TOKENS,
--- a/packages/testing/src/mod.ts
+++ b/packages/testing/src/mod.ts
@@ -2,17 +2,21 @@
 export { Caller } from "./caller/caller.ts";
 export type { Call, ChatCall, PlainCall } from "./caller/caller.ts";
 export { checkDispatchedOnce } from "./checks/dispatched_once.ts";
-export { checkNotRunTruth } from "./checks/not_run_truth.ts";
+export { checkNotRunRefusals } from "./checks/not_run_refusals.ts";
 export { checkShedOrder, SHEDDING_REASONS } from "./checks/shed_order.ts";
 export type { Violation } from "./checks/violation.ts";
-export { checkWholeAnswers } from "./checks/whole_answers.ts";
+export { checkCompleteResponses } from "./checks/complete_responses.ts";
 export { DaemonProcess, launchDaemon } from "./fleet/daemon_process.ts";
 export { EmulatedProcess } from "./fleet/emulated_process.ts";
 export { EXAMPLE_TOKEN, exampleObjects } from "./fleet/example_objects.ts";
 export { Fleet } from "./fleet/fleet.ts";
 export { MoveFleet } from "./fleet/move_fleet.ts";
-export type { MoveStanding } from "./fleet/move_fleet.ts";
-export type { BackendOptions, FleetOptions, Pair } from "./fleet/fleet.ts";
+export type { MoveStatus } from "./fleet/move_fleet.ts";
+export type {
+  BackendOptions,
+  FleetOptions,
+  LaunchedBackend,
+} from "./fleet/fleet.ts";
 export { publishObjects } from "./fleet/publish_objects.ts";
 export { entrySettings, sidecarSettings } from "./fleet/daemon_settings.ts";
 export type {
@@ -24,9 +28,9 @@
 } from "./fleet/daemon_settings.ts";
 export type { CallOutcome, CallRecord } from "./history/call_record.ts";
 export type { RunRecord } from "./history/run_record.ts";
-export { freePort } from "./process/free_port.ts";
+export { findFreePort } from "./process/find_free_port.ts";
 export { LaunchedProcess } from "./process/launched_process.ts";
-export type { ProcessEnd } from "./process/launched_process.ts";
+export type { ProcessExit } from "./process/launched_process.ts";
 export {
   COMMAND_LINE_PROGRAM,
   DAEMON_PROGRAM,
--- a/packages/testing/src/process/free_port.ts
+++ b/packages/testing/src/process/find_free_port.ts
@@ -4,7 +4,7 @@
 import type { AddressInfo } from "node:net";
 
 /** A port that was free a moment ago. Prefer port 0 where it can be read back. */
-export async function freePort(): Promise<number> {
+export async function findFreePort(): Promise<number> {
   const server = createServer();
   server.listen(0, "127.0.0.1");
   await once(server, "listening");
--- a/packages/testing/src/process/launched_process.ts
+++ b/packages/testing/src/process/launched_process.ts
@@ -8,7 +8,7 @@
 import { waitFor } from "./wait_for.ts";
 
 /** How a process ended. */
-export type ProcessEnd = {
+export type ProcessExit = {
   code: number | null;
   signal: NodeJS.Signals | null;
 };
@@ -22,11 +22,11 @@
 
 /** One running process with its output. */
 export class LaunchedProcess {
-  readonly ended: Promise<ProcessEnd>;
+  readonly exited: Promise<ProcessExit>;
   readonly #name: string;
   readonly #child: ChildProcess;
   readonly #output: string[] = [];
-  #end: ProcessEnd | undefined;
+  #end: ProcessExit | undefined;
 
   /** Starts `node` with these arguments. */
   constructor(name: string, nodeArguments: string[]) {
@@ -41,7 +41,7 @@
     running.add(this.#child);
     this.#collect(this.#child.stdout);
     this.#collect(this.#child.stderr);
-    this.ended = this.#waitForEnd();
+    this.exited = this.#waitForEnd();
   }
 
   get processId(): number {
@@ -53,15 +53,15 @@
     return this.#output.join("\n");
   }
 
-  get hasEnded(): boolean {
+  get hasExited(): boolean {
     return this.#end !== undefined;
   }
 
   /** The first JSON line with this `message`, once it is written. */
-  waitForLine(message: string): Promise<OutputLine> {
+  waitForMessage(message: string): Promise<OutputLine> {
     return waitFor(`"${message}" of ${this.#name}`, () => {
       const line = this.#lines().find((line) => line["message"] === message);
-      if (line === undefined && this.hasEnded) {
+      if (line === undefined && this.hasExited) {
         throw new Error(`${this.#name} ended before it said "${message}":
 ${this.output}`);
       }
@@ -70,28 +70,28 @@
   }
 
   /** Asks the process to stop and waits until it has. */
-  stop(): Promise<ProcessEnd> {
+  stop(): Promise<ProcessExit> {
     return this.#signal("SIGTERM");
   }
 
   /** Ends the process at once. */
-  kill(): Promise<ProcessEnd> {
+  kill(): Promise<ProcessExit> {
     return this.#signal("SIGKILL");
   }
 
   /** Sends a signal without waiting. */
-  send(signal: NodeJS.Signals): void {
+  sendSignal(signal: NodeJS.Signals): void {
     this.#child.kill(signal);
   }
 
-  #signal(signal: NodeJS.Signals): Promise<ProcessEnd> {
-    if (!this.hasEnded) {
+  #signal(signal: NodeJS.Signals): Promise<ProcessExit> {
+    if (!this.hasExited) {
       this.#child.kill(signal);
     }
-    return this.ended;
+    return this.exited;
   }
 
-  async #waitForEnd(): Promise<ProcessEnd> {
+  async #waitForEnd(): Promise<ProcessExit> {
     const [code, signal] = await once(this.#child, "close") as [
       number | null,
       NodeJS.Signals | null,
--- a/packages/testing/test/bad_frame_test.ts
+++ b/packages/testing/test/bad_frame_test.ts
@@ -25,7 +25,7 @@
     options: { speed: 8 },
   }],
 });
-t.teardown(() => fleet.stop());
+t.teardown(() => fleet.kill());
 const caller = fleet.caller();
 
 async function linkErrors(daemon: DaemonProcess) {
@@ -48,7 +48,7 @@
 
 for (const [name, bytes] of Object.entries(BAD_BYTES)) {
   t.test(`${name} closes the link, is counted and names the peer`, async (t) => {
-    for (const daemon of [fleet.pairs[0]!.sidecar, fleet.entries[0]!]) {
+    for (const daemon of [fleet.backends[0]!.sidecar, fleet.entries[0]!]) {
       const before = await linkErrors(daemon);
       const peer = await sendBadBytes(daemon, bytes);
       await waitFor(
@@ -59,7 +59,7 @@
         "the peer to be named",
         () => daemon.process.output.includes(peer),
       );
-      t.notOk(daemon.process.hasEnded);
+      t.notOk(daemon.process.hasExited);
     }
     const marker = name.replaceAll(" ", "-");
     const outcome = await caller.chat({ marker, service: "assistant" });
--- a/packages/testing/test/caller_test.ts
+++ b/packages/testing/test/caller_test.ts
@@ -2,7 +2,7 @@
 import type { FaultsInput } from "@sycamorepulley/emulator";
 import t from "tap";
 import type { Test } from "tap";
-import { Caller, checkWholeAnswers } from "../src/mod.ts";
+import { Caller, checkCompleteResponses } from "../src/mod.ts";
 
 async function callEngine(t: Test, faults: FaultsInput = {}) {
   const engine = await startEngine({ settings: { speed: 100 } });
@@ -24,7 +24,7 @@
     { marker: "whole", outcome: { type: "answered", status: 200 } },
     { marker: "streamed", outcome: { type: "answered", ended: true } },
   ]);
-  t.same(checkWholeAnswers(calls), []);
+  t.same(checkCompleteResponses(calls), []);
 });
 
 t.test("records cut answers as broken", async (t) => {
--- a/packages/testing/test/checks_test.ts
+++ b/packages/testing/test/checks_test.ts
@@ -1,10 +1,10 @@
-import { answerText } from "@sycamorepulley/emulator";
+import { markedText } from "@sycamorepulley/emulator";
 import t from "tap";
 import {
+  checkCompleteResponses,
   checkDispatchedOnce,
-  checkNotRunTruth,
+  checkNotRunRefusals,
   checkShedOrder,
-  checkWholeAnswers,
 } from "../src/mod.ts";
 import type { CallOutcome, CallRecord, RunRecord } from "../src/mod.ts";
 
@@ -36,14 +36,14 @@
 }
 
 t.test("whole answers pass, crossed and cut ones are found", (t) => {
-  const good = call("a", answered(answerText("a", 5)));
+  const good = call("a", answered(markedText("a", 5)));
   const broken = call("b", { type: "broken", detail: "reset", text: "b:1/5 " });
-  t.same(checkWholeAnswers([good, broken]), []);
-  const crossed = call("c", answered(answerText("a", 5)));
+  t.same(checkCompleteResponses([good, broken]), []);
+  const crossed = call("c", answered(markedText("a", 5)));
   const cut = call("d", answered("d:1/5 d:2/5 "));
   const mixed = call("e", answered("e:1/2 a:2/2 "));
-  const unended = call("f", answered(answerText("f", 5), false));
-  const found = checkWholeAnswers([crossed, cut, mixed, unended]);
+  const unended = call("f", answered(markedText("f", 5), false));
+  const found = checkCompleteResponses([crossed, cut, mixed, unended]);
   t.same(found.map(({ marker }) => marker), ["c", "d", "e", "f"]);
   t.end();
 });
@@ -58,15 +58,15 @@
 t.test("a false not-run is found", (t) => {
   const honest = call("a", refused("queue_full"));
   const unsure = call("b", refused("answer_cut", "unknown"));
-  t.same(checkNotRunTruth([honest, unsure], [run("b")]), []);
-  t.match(checkNotRunTruth([honest, unsure], [run("a")]), [{ marker: "a" }]);
+  t.same(checkNotRunRefusals([honest, unsure], [run("b")]), []);
+  t.match(checkNotRunRefusals([honest, unsure], [run("a")]), [{ marker: "a" }]);
   t.end();
 });
 
 t.test("a resend that ran makes its refused first try no lie", (t) => {
   const first = call("a", refused("queue_full"));
-  const second = call("a", answered(answerText("a", 5)));
-  t.same(checkNotRunTruth([first, second], [run("a")]), []);
+  const second = call("a", answered(markedText("a", 5)));
+  t.same(checkNotRunRefusals([first, second], [run("a")]), []);
   t.end();
 });
 
--- a/packages/testing/test/crashing_request_test.ts
+++ b/packages/testing/test/crashing_request_test.ts
@@ -17,8 +17,8 @@
       options: { stepTime: 5 },
     })),
   });
-  t.teardown(() => fleet.stop());
-  for (const { server } of fleet.pairs) {
+  t.teardown(() => fleet.kill());
+  for (const { server } of fleet.backends) {
     await server.setFaults({ crashMarkers: ["fatal"] });
   }
   const callers = fleet.entries.map((entry) => fleet.caller(entry));
@@ -32,7 +32,7 @@
     });
     reasons.push(outcome.type === "refused" ? outcome.reason : outcome.type);
   }
-  const lost = fleet.pairs.filter(({ server }) => server.process.hasEnded);
+  const lost = fleet.backends.filter(({ server }) => server.process.hasExited);
   t.ok(lost.length <= 2, `servers lost: ${lost.length}`);
   t.equal(reasons.at(-1), "quarantined");
   const neighbours = await Promise.all(
--- a/packages/testing/test/frozen_sidecar_test.ts
+++ b/packages/testing/test/frozen_sidecar_test.ts
@@ -1,8 +1,8 @@
 import t from "tap";
 import {
+  checkCompleteResponses,
   checkDispatchedOnce,
-  checkNotRunTruth,
-  checkWholeAnswers,
+  checkNotRunRefusals,
   Fleet,
   waitFor,
 } from "../src/mod.ts";
@@ -26,8 +26,8 @@
       options: { stepTime, maxSequences: PLACES },
     })),
   });
-  t.teardown(() => fleet.stop());
-  const frozen = fleet.pairs[0]!;
+  t.teardown(() => fleet.kill());
+  const frozen = fleet.backends[0]!;
   const caller = fleet.caller();
   const answers = Array.from({ length: CALLS }, (_, index) =>
     caller.chat({
@@ -40,9 +40,9 @@
     const records = await frozen.server.records();
     return records.length > 0;
   });
-  frozen.sidecar.process.send("SIGSTOP");
+  frozen.sidecar.process.sendSignal("SIGSTOP");
   await Promise.all(answers);
-  frozen.sidecar.process.send("SIGCONT");
+  frozen.sidecar.process.sendSignal("SIGCONT");
   await frozen.sidecar.waitUntilReady();
   const runs = await fleet.runs();
   const unanswered = caller.calls
@@ -51,7 +51,7 @@
   const handedOver = { type: "refused", reason: "link_lost", ran: "unknown" };
   for (const { outcome } of unanswered) t.match(outcome, handedOver);
   t.ok(unanswered.length <= PLACES, `${unanswered.length} unanswered`);
-  t.same(checkWholeAnswers(caller.calls), []);
+  t.same(checkCompleteResponses(caller.calls), []);
   t.same(checkDispatchedOnce(runs), []);
-  t.same(checkNotRunTruth(caller.calls, runs), []);
+  t.same(checkNotRunRefusals(caller.calls, runs), []);
 });
--- a/packages/testing/test/graceful_shutdown_test.ts
+++ b/packages/testing/test/graceful_shutdown_test.ts
@@ -2,7 +2,7 @@
 // process ends at the signal, each stream stops in mid-sentence; if it goes on
 // taking requests, it never ends.
 import t from "tap";
-import { checkWholeAnswers, Fleet, waitFor } from "../src/mod.ts";
+import { checkCompleteResponses, Fleet, waitFor } from "../src/mod.ts";
 import type { FleetOptions } from "../src/mod.ts";
 
 const FLEET: FleetOptions = {
@@ -25,7 +25,7 @@
 
 t.test("an entry finishes its streams, then ends", async (t) => {
   const fleet = await Fleet.start(FLEET);
-  t.teardown(() => fleet.stop());
+  t.teardown(() => fleet.kill());
   const caller = fleet.caller(fleet.entries[0]);
   const streams = Promise.all(
     ["a", "b", "c"].map((marker) =>
@@ -41,7 +41,7 @@
   const end = fleet.entries[0]!.process.stop();
   const outcomes = await streams;
   t.match(outcomes, outcomes.map(() => ({ type: "answered", ended: true })));
-  t.same(checkWholeAnswers(caller.calls), []);
+  t.same(checkCompleteResponses(caller.calls), []);
   t.equal((await end).code, 0);
   const other = fleet.caller(fleet.entries[1]);
   const after = await other.chat({ marker: "after", service: "assistant" });
@@ -50,7 +50,7 @@
 
 t.test("a sidecar finishes its streams and takes no more", async (t) => {
   const fleet = await Fleet.start(FLEET);
-  t.teardown(() => fleet.stop());
+  t.teardown(() => fleet.kill());
   const caller = fleet.caller(fleet.entries[0]);
   const stream = caller.chat({
     marker: "long",
@@ -59,7 +59,7 @@
     outputTokens: LONG_ANSWER,
   });
   const server = await serverOf(fleet, "long");
-  const leaving = fleet.pairs.find(({ name }) => name === server)!;
+  const leaving = fleet.backends.find(({ name }) => name === server)!;
   const end = leaving.sidecar.process.stop();
   await waitFor(
     "the sidecar to take its leave",
@@ -75,7 +75,7 @@
   t.same(later.filter(({ type }) => type !== "answered"), []);
   t.match(await stream, { type: "answered", ended: true });
   t.equal((await end).code, 0);
-  t.same(checkWholeAnswers(caller.calls), []);
+  t.same(checkCompleteResponses(caller.calls), []);
   const runs = await fleet.runs();
   const taken = runs.filter((run) =>
     run.server === server && run.marker?.startsWith("later")
--- a/packages/testing/test/idempotency_test.ts
+++ b/packages/testing/test/idempotency_test.ts
@@ -14,7 +14,7 @@
     options: { callTime },
   })),
 });
-t.teardown(() => fleet.stop());
+t.teardown(() => fleet.kill());
 const caller = fleet.caller(fleet.entries[0]);
 const other = fleet.caller(fleet.entries[1]);
 
@@ -31,15 +31,15 @@
     path: "/bookings",
     idempotencyKey: "key-1",
   } as const;
-  const first = await caller.plain(booking);
+  const first = await caller.callPlainService(booking);
   t.match(first, { type: "answered", status: 201 });
-  t.same(await caller.plain(booking), first);
+  t.same(await caller.callPlainService(booking), first);
   // The outcome is recorded a moment after the answer; until then the other
   // entry must say that the first is under way, and never run it again.
   const elsewhere = await waitFor(
     "the outcome at the other entry",
     async () => {
-      const outcome = await other.plain(booking);
+      const outcome = await other.callPlainService(booking);
       return isUnderWay(outcome) ? undefined : outcome;
     },
   );
@@ -56,7 +56,10 @@
     path: "/bookings",
     idempotencyKey: "key-2",
   } as const;
-  await Promise.all([caller.plain(booking), other.plain(booking)]);
+  await Promise.all([
+    caller.callPlainService(booking),
+    other.callPlainService(booking),
+  ]);
   const ran = (await fleet.runs()).filter((run) => run.marker === "racing");
   t.equal(ran.length, 1);
 });
@@ -69,8 +72,11 @@
     path: "/bookings",
     idempotencyKey: "key-3",
   } as const;
-  await caller.plain({ ...booking, body: { slot: "nine" } });
-  const reused = await other.plain({ ...booking, body: { slot: "ten" } });
+  await caller.callPlainService({ ...booking, body: { slot: "nine" } });
+  const reused = await other.callPlainService({
+    ...booking,
+    body: { slot: "ten" },
+  });
   t.match(reused, { reason: "idempotency_key_reused", ran: "no" });
 });
 
@@ -83,8 +89,8 @@
     idempotencyKey: "key-4",
   } as const;
   await fleet.keyValueStore.putFaults({ lostWriteAnswers: 1 });
-  await caller.plain(booking);
-  await other.plain(booking);
+  await caller.callPlainService(booking);
+  await other.callPlainService(booking);
   await fleet.keyValueStore.putFaults({});
   const ran = (await fleet.runs()).filter((run) =>
     run.marker === "lost-answer"
@@ -94,7 +100,7 @@
 
 t.test("without the key-value service a booking is refused", async (t) => {
   await fleet.keyValueStore.putFaults({ outage: "refuse" });
-  const refused = await caller.plain({
+  const refused = await caller.callPlainService({
     marker: "outage",
     service: "bookings",
     method: "POST",
@@ -102,7 +108,7 @@
     idempotencyKey: "key-5",
   });
   t.match(refused, { reason: "claims_unavailable", ran: "no" });
-  const lookup = await caller.plain({
+  const lookup = await caller.callPlainService({
     marker: "lookup",
     service: "bookings",
     method: "GET",
--- a/packages/testing/test/outage_start_test.ts
+++ b/packages/testing/test/outage_start_test.ts
@@ -14,7 +14,7 @@
       options: { stepTime: 2 },
     })),
   });
-  t.teardown(() => fleet.stop());
+  t.teardown(() => fleet.kill());
   await fleet.keyValueStore.putFaults({ outage: "refuse" });
   const started = await fleet.addEntry();
   await started.waitUntilReady();
@@ -41,7 +41,7 @@
       options: { callTime: 1 },
     }],
   });
-  t.teardown(() => fleet.stop());
+  t.teardown(() => fleet.kill());
   const caller = fleet.caller();
   const booking = {
     marker: "booking",
@@ -51,13 +51,13 @@
     idempotencyKey: "key-1",
   } as const;
   await fleet.keyValueStore.putFaults({ outage: "refuse" });
-  const refused = await caller.plain(booking);
+  const refused = await caller.callPlainService(booking);
   t.match(refused, { type: "refused", reason: "claims_unavailable" });
   t.equal(refused.type === "refused" && refused.ran, "no");
   t.same(await fleet.runs(), []);
   await fleet.keyValueStore.putFaults({});
   await waitFor("the booking to be taken", async () => {
-    const outcome = await caller.plain(booking);
+    const outcome = await caller.callPlainService(booking);
     return outcome.type === "answered";
   });
   t.equal((await fleet.runs()).length, 1);
--- a/packages/testing/test/overload_test.ts
+++ b/packages/testing/test/overload_test.ts
@@ -4,10 +4,10 @@
 import { setTimeout } from "node:timers/promises";
 import t from "tap";
 import {
+  checkCompleteResponses,
   checkDispatchedOnce,
-  checkNotRunTruth,
+  checkNotRunRefusals,
   checkShedOrder,
-  checkWholeAnswers,
   exampleObjects,
   Fleet,
   waitFor,
@@ -40,7 +40,7 @@
     })),
     objects: objectsWithShortQueues(),
   });
-  t.teardown(() => fleet.stop());
+  t.teardown(() => fleet.kill());
   const caller = fleet.caller();
   const send = (tier: string, tierRank: number, count: number) =>
     Array.from({ length: count }, (_, index) =>
@@ -63,7 +63,7 @@
   t.same(high.filter(({ type }) => type !== "answered"), []);
   t.ok(caller.calls.some(({ outcome }) => outcome.type === "refused"));
   t.same(checkShedOrder(caller.calls, runs, { slack: SLACK }), []);
-  t.same(checkWholeAnswers(caller.calls), []);
+  t.same(checkCompleteResponses(caller.calls), []);
   t.same(checkDispatchedOnce(runs), []);
-  t.same(checkNotRunTruth(caller.calls, runs), []);
+  t.same(checkNotRunRefusals(caller.calls, runs), []);
 });
--- a/packages/testing/test/requests_test.ts
+++ b/packages/testing/test/requests_test.ts
@@ -1,8 +1,8 @@
 import t from "tap";
 import {
+  checkCompleteResponses,
   checkDispatchedOnce,
-  checkNotRunTruth,
-  checkWholeAnswers,
+  checkNotRunRefusals,
   exampleObjects,
   Fleet,
 } from "../src/mod.ts";
@@ -35,7 +35,7 @@
 }
 
 const fleet = await Fleet.start(FLEET);
-t.teardown(() => fleet.stop());
+t.teardown(() => fleet.kill());
 const caller = fleet.caller(fleet.entries[0]);
 const other = fleet.caller(fleet.entries[1]);
 
@@ -55,7 +55,7 @@
 });
 
 t.test("idempotent call of a plain service", async (t) => {
-  const outcome = await caller.plain({
+  const outcome = await caller.callPlainService({
     marker: "lookup",
     service: "bookings",
     method: "GET",
@@ -92,15 +92,18 @@
     method: "POST",
     path: "/bookings",
   } as const;
-  t.match(await caller.plain({ ...booking, service: "bookings" }), {
+  t.match(await caller.callPlainService({ ...booking, service: "bookings" }), {
     ...refused,
     reason: "idempotency_key_required",
   });
-  t.match(await caller.plain({ ...booking, service: "no-such-service" }), {
-    ...refused,
-    status: 404,
-    reason: "unknown_service",
-  });
+  t.match(
+    await caller.callPlainService({ ...booking, service: "no-such-service" }),
+    {
+      ...refused,
+      status: 404,
+      reason: "unknown_service",
+    },
+  );
   t.match(await caller.chat({ ...chat, deadline: 1 }), {
     ...refused,
     reason: "deadline",
@@ -138,7 +141,7 @@
   const chats = calls.filter(({ service }) => service === "assistant");
   const runs = await fleet.runs();
   t.ok(runs.length > 60);
-  t.same(checkWholeAnswers(chats), []);
+  t.same(checkCompleteResponses(chats), []);
   t.same(checkDispatchedOnce(runs), []);
-  t.same(checkNotRunTruth(calls, runs), []);
+  t.same(checkNotRunRefusals(calls, runs), []);
 });
--- a/packages/testing/test/server_crash_test.ts
+++ b/packages/testing/test/server_crash_test.ts
@@ -4,9 +4,9 @@
 import t from "tap";
 import type { Test } from "tap";
 import {
+  checkCompleteResponses,
   checkDispatchedOnce,
-  checkNotRunTruth,
-  checkWholeAnswers,
+  checkNotRunRefusals,
   Fleet,
   waitFor,
 } from "../src/mod.ts";
@@ -25,7 +25,7 @@
 /** Kills the server in the midst of a streamed, or of a plain, answer. */
 async function crash(t: Test, stream: boolean) {
   const fleet = await Fleet.start(FLEET);
-  t.teardown(() => fleet.stop());
+  t.teardown(() => fleet.kill());
   const caller = fleet.caller();
   let begun = !stream;
   const answer = caller.chat({
@@ -39,7 +39,7 @@
     const runs = await fleet.runs();
     return begun && runs.find(({ marker }) => marker === "fatal");
   });
-  const pair = fleet.pairs.find(({ name }) => name === run.server)!;
+  const pair = fleet.backends.find(({ name }) => name === run.server)!;
   await pair.server.process.kill();
   const outcome = await answer;
   const markers = Array.from({ length: 6 }, (_, index) => `after-${index}`);
@@ -48,9 +48,9 @@
   );
   const runs = [run, ...await fleet.runs()];
   const violations = [
-    ...checkWholeAnswers(caller.calls),
+    ...checkCompleteResponses(caller.calls),
     ...checkDispatchedOnce(runs),
-    ...checkNotRunTruth(caller.calls, runs),
+    ...checkNotRunRefusals(caller.calls, runs),
   ];
   return { outcome, after, violations };
 }
--- a/packages/testing/test/server_limit_test.ts
+++ b/packages/testing/test/server_limit_test.ts
@@ -1,6 +1,6 @@
 import { setTimeout } from "node:timers/promises";
 import t from "tap";
-import { checkNotRunTruth, Fleet } from "../src/mod.ts";
+import { checkNotRunRefusals, Fleet } from "../src/mod.ts";
 
 /** Requests a second that the server states. */
 const LIMIT = 2;
@@ -18,8 +18,8 @@
       options: { stepTime: 1 },
     }],
   });
-  t.teardown(() => fleet.stop());
-  const [pair] = fleet.pairs;
+  t.teardown(() => fleet.kill());
+  const [pair] = fleet.backends;
   await pair!.server.setFaults({ statedLimit: { perSecond: LIMIT } });
   const callers = fleet.entries.map((entry) => fleet.caller(entry));
   const send = (index: number) =>
@@ -46,7 +46,10 @@
   await pair!.server.setFaults({});
   await Promise.all(answers);
   t.same(
-    checkNotRunTruth(callers.flatMap(({ calls }) => calls), await fleet.runs()),
+    checkNotRunRefusals(
+      callers.flatMap(({ calls }) => calls),
+      await fleet.runs(),
+    ),
     [],
   );
 });
--- a/packages/testing/test/settings_file_test.ts
+++ b/packages/testing/test/settings_file_test.ts
@@ -10,7 +10,7 @@
 
 async function endOf(name: string, text: string) {
   const daemon = launchDaemon(await directory.write(name, text));
-  const { code } = await daemon.ended;
+  const { code } = await daemon.exited;
   return { code, output: daemon.output };
 }
 
@@ -39,7 +39,7 @@
 
 t.test("a missing file is named", async (t) => {
   const daemon = launchDaemon(`${directory.path}/absent.jsonc`);
-  const { code } = await daemon.ended;
+  const { code } = await daemon.exited;
   t.not(code, 0);
   t.match(daemon.output, /absent\.jsonc/);
 });
--- a/packages/testing/test/sidecar_death_test.ts
+++ b/packages/testing/test/sidecar_death_test.ts
@@ -4,9 +4,9 @@
 // ones get an error that does not claim that nothing ran.
 import t from "tap";
 import {
+  checkCompleteResponses,
   checkDispatchedOnce,
-  checkNotRunTruth,
-  checkWholeAnswers,
+  checkNotRunRefusals,
   Fleet,
   waitFor,
 } from "../src/mod.ts";
@@ -26,7 +26,7 @@
       options: { stepTime, maxSequences: SEQUENCES },
     })),
   });
-  t.teardown(() => fleet.stop());
+  t.teardown(() => fleet.kill());
   const caller = fleet.caller();
   const answers = Array.from({ length: CALLS }, (_, index) =>
     caller.chat({
@@ -34,7 +34,7 @@
       service: "assistant",
       outputTokens: 20,
     }));
-  const dying = fleet.pairs[0]!;
+  const dying = fleet.backends[0]!;
   await waitFor(
     "requests to run and to wait at the first sidecar",
     async () => {
@@ -59,7 +59,7 @@
     .filter(({ outcome }) => outcome.type !== "answered");
   t.same(unanswered.map(({ marker }) => marker).sort(), lost.sort());
   t.match(unanswered, unanswered.map(() => ({ outcome: { ran: "unknown" } })));
-  t.same(checkWholeAnswers(caller.calls), []);
+  t.same(checkCompleteResponses(caller.calls), []);
   t.same(checkDispatchedOnce(runs), []);
-  t.same(checkNotRunTruth(caller.calls, runs), []);
+  t.same(checkNotRunRefusals(caller.calls, runs), []);
 });
