--- a/packages/protocol/src/handshake.ts
+++ b/packages/protocol/src/handshake.ts
@@ -1,5 +1,5 @@
 /**
- * Opening a link: both sides send a hello and check the other's.
+ * Opens links: both sides send a hello and validate the other's.
  * @module
  */
 import { connect } from "node:net";
@@ -10,11 +10,11 @@
 import { PROTOCOL_VERSION } from "./messages.ts";
 import type { HelloMessage, Message } from "./messages.ts";
 
-/** A link whose peer has said who it is. */
+/** A link on which hellos have been exchanged. */
 export type EstablishedLink = {
   link: Link;
   peerHello: HelloMessage;
-  /** All that follows the hello. */
+  /** The peer's messages after the hello. */
   messages: AsyncGenerator<Message, void>;
 };
 
@@ -24,14 +24,14 @@
 ): Promise<Result<EstablishedLink, LinkError>> {
   const connected = await connectSocket(options);
   if (connected.isErr) return Result.err(connected.error);
-  return await greet({ ...options, socket: connected.value });
+  return await exchangeHellos({ ...options, socket: connected.value });
 }
 
 /** Exchanges hellos on a connection that the peer opened. */
 export function acceptLink(
   options: { socket: Socket; hello: HelloMessage; timeout: number },
 ): Promise<Result<EstablishedLink, LinkError>> {
-  return greet(options);
+  return exchangeHellos(options);
 }
 
 function connectSocket(
@@ -56,32 +56,32 @@
   });
 }
 
-async function greet(
+async function exchangeHellos(
   options: { socket: Socket; hello: HelloMessage; timeout: number },
 ): Promise<Result<EstablishedLink, LinkError>> {
   const { socket, hello, timeout } = options;
   const link = new Link({ socket });
   link.send(hello);
-  // A peer that connects and stays silent would hold the connection for ever.
-  const silence = setTimeout(() => link.close(), timeout);
+  // Without a timeout, a peer that sends nothing would keep the connection open.
+  const helloTimer = setTimeout(() => link.close(), timeout);
   const messages = link.receive();
   try {
     const first = await messages.next();
-    const checked = checkHello(link.peer, first.value ?? undefined);
-    if (checked.isErr) {
+    const validated = validateHello(link.peer, first.value ?? undefined);
+    if (validated.isErr) {
       link.close();
-      return Result.err(checked.error);
+      return Result.err(validated.error);
     }
-    return Result.ok({ link, peerHello: checked.value, messages });
+    return Result.ok({ link, peerHello: validated.value, messages });
   } catch (error) {
     if (!(error instanceof LinkError)) throw error;
     return Result.err(error);
   } finally {
-    clearTimeout(silence);
+    clearTimeout(helloTimer);
   }
 }
 
-function checkHello(
+function validateHello(
   peer: string,
   message: Message | undefined,
 ): Result<HelloMessage, LinkError> {
--- a/packages/protocol/src/hop_by_hop_headers.ts
+++ b/packages/protocol/src/hop_by_hop_headers.ts
@@ -1,6 +1,6 @@
-/** HTTP headers that end at a connection. @module */
+/** HTTP headers that must not be forwarded. @module */
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1). */
+/** Headers that apply to one connection only (RFC 9110, section 7.6.1). */
 export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
--- a/packages/protocol/src/key_map.ts
+++ b/packages/protocol/src/key_map.ts
@@ -1,9 +1,11 @@
 /**
- * Short integer keys for the messages' fields: a grant takes 28 bytes with
- * them and 53 without. The numbers are part of the protocol: never reuse one.
+ * Integer keys for the fields of messages, to keep them short: a grant takes 28
+ * bytes with them and 53 bytes without. The numbers are part of the protocol:
+ * never reuse one.
  * @module
  */
 
+/** Field names; the position, counted from 1, is the key. Only append. */
 const FIELDS = [
   "type",
   "reservation",
@@ -61,7 +63,7 @@
   "firstTokenRemaining",
 ] as const;
 
-/** Field name to wire key, as `cbor-x` takes it. */
+/** Maps field names to the integers sent; the `keyMap` option of `cbor-x`. */
 export const KEY_MAP: Record<string, number> = Object.fromEntries(
   FIELDS.map((field, position) => [field, position + 1]),
 );
--- a/packages/protocol/src/link.ts
+++ b/packages/protocol/src/link.ts
@@ -1,6 +1,6 @@
 /**
- * One TCP connection between two processes. Its owner runs one loop
- * over {@link Link.receive} for as long as the connection lives.
+ * A TCP connection between two processes that carries messages. Its owner runs
+ * one loop over {@link Link.receive} for as long as the connection is open.
  * @module
  */
 import type { Socket } from "node:net";
@@ -9,10 +9,10 @@
 import type { MessageSchema } from "./frame_codec.ts";
 import type { Message } from "./messages.ts";
 
-/** Buffered bytes beyond which {@link Link.waitForDrain} waits. */
-const HIGH_WATER_BYTES = 1024 * 1024;
+/** Unsent bytes from which {@link Link.waitForDrain} waits. */
+const HIGH_WATER_MARK_BYTES = 1024 * 1024;
 
-/** Counts of what went over a link, for the control-traffic figures. */
+/** What a link has carried, for metrics of control traffic. */
 export type LinkTraffic = {
   messagesSent: number;
   messagesReceived: number;
@@ -21,7 +21,7 @@
 };
 
 /** Sends and receives messages over a connected socket. */
-export class Link<Sent extends object = Message> {
+export class Link<LinkMessage extends object = Message> {
   readonly peer: string;
   readonly traffic: LinkTraffic = {
     messagesSent: 0,
@@ -30,15 +30,15 @@
     bytesReceived: 0,
   };
   readonly #socket: Socket;
-  readonly #decoder: FrameDecoder<Sent>;
-  #outgoing: Sent[] = [];
+  readonly #decoder: FrameDecoder<LinkMessage>;
+  #outgoing: LinkMessage[] = [];
   #closed = false;
 
   constructor(
     options: {
       socket: Socket;
       maximumFrameBytes?: number;
-      schema?: MessageSchema<Sent>;
+      schema?: MessageSchema<LinkMessage>;
     },
   ) {
     const { socket } = options;
@@ -47,7 +47,7 @@
     this.#decoder = new FrameDecoder({ ...options, peer: this.peer });
     socket.setNoDelay(true);
     // The loop over `receive` reports the error; without a listener here it
-    // would end the process instead.
+    // would end the process.
     socket.on("error", () => {});
     socket.once("close", () => this.#closed = true);
   }
@@ -57,7 +57,7 @@
   }
 
   /** Queues a message; those of one turn of the event loop share a frame. */
-  send(message: Sent): void {
+  send(message: LinkMessage): void {
     if (this.#closed) return;
     if (this.#outgoing.length === 0) setImmediate(() => this.#flush());
     this.#outgoing.push(message);
@@ -65,7 +65,9 @@
 
   /** Resolves once the peer has read enough for more bytes to be sent. */
   async waitForDrain(): Promise<void> {
-    if (this.#closed || this.#socket.writableLength < HIGH_WATER_BYTES) return;
+    if (this.#closed || this.#socket.writableLength < HIGH_WATER_MARK_BYTES) {
+      return;
+    }
     await new Promise<void>((resolve) => {
       const done = () => {
         this.#socket.off("drain", done);
@@ -78,10 +80,10 @@
   }
 
   /**
-   * The peer's messages in order, until it closes the connection.
+   * Yields the peer's messages in order, until it closes the connection.
    * Throws {@link LinkError} on a lost connection or a malformed frame.
    */
-  async *receive(): AsyncGenerator<Sent, void> {
+  async *receive(): AsyncGenerator<LinkMessage, void> {
     try {
       for await (const bytes of this.#socket) {
         this.traffic.bytesReceived += bytes.byteLength;
@@ -102,7 +104,7 @@
     }
   }
 
-  /** Sends what is queued, then closes the connection. */
+  /** Sends the queued messages, then closes the connection. */
   end(): void {
     this.#flush();
     this.#socket.end();
--- a/packages/protocol/src/link_error.ts
+++ b/packages/protocol/src/link_error.ts
@@ -1,9 +1,9 @@
-/** Why a link between two processes ended. @module */
+/** Error that ends a link between two processes. @module */
 
-/** Steps in a link's life at which it can fail. */
+/** Steps at which a link can fail. */
 export type LinkStep = "connect" | "hello" | "receive" | "decode" | "silence";
 
-/** Reasons a link is closed; each is counted by whoever owns the link. */
+/** Reasons for which a link is closed; the owner of the link counts them. */
 export type LinkErrorReason =
   | "unreachable"
   | "timeout"
@@ -14,7 +14,7 @@
   | "protocol_version"
   | "connection_lost";
 
-/** Carries the step at which the link failed and the peer's address. */
+/** Contains the step at which the link failed and the peer's address. */
 export class LinkError extends Error {
   readonly step: LinkStep;
   readonly peer: string;
--- a/packages/protocol/src/messages.ts
+++ b/packages/protocol/src/messages.ts
@@ -1,12 +1,13 @@
 /**
- * The messages between an entry and a sidecar. An entry dials; both sides send
- * a `hello` first. Durations are milliseconds, sizes are bytes. A reservation's
- * number is unique within one incarnation of the entry that made it.
+ * The messages between an entry and a sidecar. The entry opens the link; both
+ * sides send a `hello` first. Durations are in milliseconds, sizes in bytes.
+ * The number of a reservation is unique within one incarnation of the entry
+ * that made it.
  * @module
  */
 import * as v from "valibot";
 
-/** Raised whenever a message changes so that an older peer would misread it. */
+/** Incremented when an older peer would misread a changed message. */
 export const PROTOCOL_VERSION = 1;
 
 const text = v.pipe(v.string(), v.maxLength(512));
@@ -16,25 +17,25 @@
 const reservationNumber = count;
 const grantNumber = count;
 
-/** HTTP headers by lower-case name; some, as `set-cookie`, come repeatedly. */
+/** HTTP headers by lower-case name; some, as `set-cookie`, are repeatable. */
 export const httpHeadersSchema = v.record(
   v.string(),
   v.union([v.string(), v.array(v.string())]),
 );
-/** See {@link httpHeadersSchema}. */
+/** HTTP headers; see {@link httpHeadersSchema}. */
 export type HttpHeaders = v.InferOutput<typeof httpHeadersSchema>;
 
-/** What a caller may conclude about its request having run. */
+/** Whether the request has run, as far as is known. */
 export const executionStatusSchema = v.picklist(["no", "unknown", "yes"]);
-/** See {@link executionStatusSchema}. */
+/** Whether a request has run; see {@link executionStatusSchema}. */
 export type ExecutionStatus = v.InferOutput<typeof executionStatusSchema>;
 
-/** Work expected of a backend server: tokens for an engine, calls otherwise. */
+/** Expected work of a request: tokens for an engine, otherwise calls. */
 export const costSchema = v.object({
   promptTokens: count,
   outputTokens: count,
 });
-/** See {@link costSchema}. */
+/** Expected work of a request; see {@link costSchema}. */
 export type Cost = v.InferOutput<typeof costSchema>;
 
 /** The first message on a link, in both directions. */
@@ -49,37 +50,38 @@
   configurationRevision: count,
   service: v.optional(text),
   version: v.optional(text),
+  /** The sender is draining. */
   leaving: v.optional(v.boolean()),
 });
 
-/** Asks for a place in the sidecar's queue; the body stays with the entry. */
+/** Queues a request at the sidecar; its body stays with the entry. */
 export const reserveSchema = v.object({
   type: v.literal("reserve"),
   reservation: reservationNumber,
   service: text,
-  /** 0 is served first. */
+  /** Rank of the request's tier; 0 is served first. */
   tierRank: count,
   organisation: text,
   route: text,
   cost: costSchema,
-  /** Time left until the caller gives up, counted from the sending. */
+  /** Milliseconds until the caller's deadline, from when this is sent. */
   remaining: duration,
-  /** Time left until the first token is no longer good; absent: no goal. */
+  /** Milliseconds left until the goal of the first token; absent: no goal. */
   firstTokenRemaining: v.optional(duration),
   prefixKey: v.optional(text),
-  /** Hash of what would run; the same for a request sent again. */
+  /** Hash of the request; a retry has the same. */
   fingerprint: v.optional(text),
-  /** The request may have crashed a server: it runs with nothing beside it. */
+  /** The request may have crashed a server: it runs with no other beside it. */
   suspect: v.optional(v.boolean()),
 });
 
-/** Takes a reservation back, or declines a grant that came too late. */
+/** Withdraws a reservation, or declines a grant that came too late. */
 export const withdrawSchema = v.object({
   type: v.literal("withdraw"),
   reservation: reservationNumber,
 });
 
-/** The one dispatch of a request, in answer to a grant. */
+/** Dispatches a request, in response to a grant; sent at most once. */
 export const handOverSchema = v.object({
   type: v.literal("handOver"),
   reservation: reservationNumber,
@@ -89,17 +91,20 @@
   headers: httpHeadersSchema,
   body: bytes,
   remaining: duration,
-  /** Not idempotent: it finishes although its entry is gone. */
+  /** Not idempotent: runs to its end even if the link to its entry is lost. */
   runToCompletion: v.optional(v.boolean()),
 });
 
-/** The caller has gone: stop the running request. */
+/** The caller has disconnected: stop the running request. */
 export const cancelSchema = v.object({
   type: v.literal("cancel"),
   reservation: reservationNumber,
 });
 
-/** Offers the engine's room; lapses unless handed over within `lapse`. */
+/**
+ * Offers a slot at the backend server. The grant expires unless the request is
+ * handed over within `lapse` milliseconds.
+ */
 export const grantSchema = v.object({
   type: v.literal("grant"),
   reservation: reservationNumber,
@@ -107,7 +112,7 @@
   lapse: duration,
 });
 
-/** Why a sidecar did not take, or no longer holds, a reservation. */
+/** Why a sidecar did not accept, or has dropped, a reservation. */
 export const sidecarRefusalReasonSchema = v.picklist([
   "queue_full",
   "evicted",
@@ -119,21 +124,21 @@
   "grant_lapsed",
   "quarantined",
 ]);
-/** See {@link sidecarRefusalReasonSchema}. */
+/** Why a reservation was refused; see {@link sidecarRefusalReasonSchema}. */
 export type SidecarRefusalReason = v.InferOutput<
   typeof sidecarRefusalReasonSchema
 >;
 
-/** The reservation is gone and its request did not reach the server. */
+/** The reservation has ended, and its request did not reach the server. */
 export const refuseSchema = v.object({
   type: v.literal("refuse"),
   reservation: reservationNumber,
   reason: sidecarRefusalReasonSchema,
-  /** When coming back is expected to help. */
+  /** Milliseconds after which a retry is expected to succeed. */
   retryAfter: v.optional(duration),
 });
 
-/** Status and headers of the backend server's answer. */
+/** Status and headers of the backend server's response. */
 export const headSchema = v.object({
   type: v.literal("head"),
   reservation: reservationNumber,
@@ -141,7 +146,7 @@
   headers: httpHeadersSchema,
 });
 
-/** The next bytes of an answer; `sequence` counts from 0 without gaps. */
+/** The next bytes of a response; `sequence` counts from 0 without gaps. */
 export const chunkSchema = v.object({
   type: v.literal("chunk"),
   reservation: reservationNumber,
@@ -149,7 +154,7 @@
   bytes,
 });
 
-/** The answer is whole: all `chunks` chunks with `length` bytes were sent. */
+/** The response is complete: `chunks` chunks with `length` bytes were sent. */
 export const endSchema = v.object({
   type: v.literal("end"),
   reservation: reservationNumber,
@@ -157,7 +162,7 @@
   length: count,
 });
 
-/** The answer is cut, or the request never reached the server (`ran: "no"`). */
+/** The response broke off, or the request was not sent (`ran: "no"`). */
 export const failedSchema = v.object({
   type: v.literal("failed"),
   reservation: reservationNumber,
@@ -172,44 +177,44 @@
   ]),
 });
 
-/** First-hand load of the backend server; rides beside other messages. */
+/** Load of the sidecar's backend server; sent along with other messages. */
 export const loadSchema = v.object({
   type: v.literal("load"),
   running: count,
   waiting: count,
-  /** Requests the server can run at once, as found by its limit. */
+  /** Requests that the server can run at once, according to its limit. */
   limit: duration,
-  /** Lowest tier that would be queued now; absent while there is room. */
+  /** Lowest tier that would be queued now; absent while there is capacity. */
   lowestTierRank: v.optional(count),
-  /** Expected wait of a new reservation of the lowest tier. */
+  /** Expected wait of a new reservation of the lowest tier, in milliseconds. */
   expectedWait: duration,
   healthy: v.boolean(),
 });
 
-/** No new work from now on; running requests finish. */
+/** The sidecar is draining: no new work; running requests finish. */
 export const leavingSchema = v.object({ type: v.literal("leaving") });
 
-/** Fingerprints of what ran when a backend server died. */
+/** Fingerprints of the requests that ran when a backend server crashed. */
 export const crashedSchema = v.object({
   type: v.literal("crashed"),
-  /** Instance name of its sidecar: one crash, told by many, counts once. */
+  /** Instance name of its sidecar: a crash that several report counts once. */
   backendServer: text,
   fingerprints: v.array(text),
 });
 
-/** Keeps an idle link known to be alive. */
+/** Shows that an idle link is alive. */
 export const heartbeatSchema = v.object({
   type: v.literal("heartbeat"),
   configurationRevision: count,
 });
 
-/** Asks the peer for its configuration when it is newer than `revision`. */
+/** Requests the peer's configuration if it is newer than `revision`. */
 export const pullConfigurationSchema = v.object({
   type: v.literal("pullConfiguration"),
   revision: count,
 });
 
-/** The published set as the platform's service holds it. */
+/** The published configuration, as stored in the platform's service. */
 export const configurationSchema = v.object({
   type: v.literal("configuration"),
   revision: count,
@@ -228,13 +233,13 @@
   ),
 });
 
-/** A move's record as the platform's service holds it. */
+/** The record of a move, as stored in the platform's service. */
 export const moveRecordSchema = v.object({
   type: v.literal("moveRecord"),
   text: v.string(),
 });
 
-/** Every message. */
+/** Any message between entry and sidecar. */
 export const messageSchema = v.variant("type", [
   helloSchema,
   reserveSchema,
@@ -257,17 +262,17 @@
   moveRecordSchema,
 ]);
 
-/** Any message of the protocol. */
+/** Any message between entry and sidecar; see {@link messageSchema}. */
 export type Message = v.InferOutput<typeof messageSchema>;
-/** See {@link helloSchema}. */
+/** The first message on a link; see {@link helloSchema}. */
 export type HelloMessage = v.InferOutput<typeof helloSchema>;
-/** See {@link reserveSchema}. */
+/** Queues a request at the sidecar; see {@link reserveSchema}. */
 export type ReserveMessage = v.InferOutput<typeof reserveSchema>;
-/** See {@link handOverSchema}. */
+/** Dispatches a request; see {@link handOverSchema}. */
 export type HandOverMessage = v.InferOutput<typeof handOverSchema>;
-/** See {@link loadSchema}. */
+/** Load of a backend server; see {@link loadSchema}. */
 export type LoadMessage = v.InferOutput<typeof loadSchema>;
-/** See {@link failedSchema}. */
+/** A request that failed; see {@link failedSchema}. */
 export type FailedMessage = v.InferOutput<typeof failedSchema>;
-/** See {@link crashedSchema}. */
+/** Reports a crash of a backend server; see {@link crashedSchema}. */
 export type CrashedMessage = v.InferOutput<typeof crashedSchema>;
--- a/packages/protocol/src/mod.ts
+++ b/packages/protocol/src/mod.ts
@@ -1,4 +1,4 @@
-/** The processes' own protocol: messages, frames and links. @module */
+/** The protocol between processes: messages, frames and links. @module */
 export * from "./messages.ts";
 export { HOP_BY_HOP_HEADERS } from "./hop_by_hop_headers.ts";
 export {
--- a/packages/protocol/test/frame_codec_test.ts
+++ b/packages/protocol/test/frame_codec_test.ts
@@ -7,7 +7,7 @@
   { type: "chunk", reservation: 1, sequence: 0, bytes: Buffer.from("abc") },
 ];
 
-function caught(action: () => unknown): unknown {
+function thrownBy(action: () => unknown): unknown {
   try {
     return action();
   } catch (error) {
@@ -15,7 +15,7 @@
   }
 }
 
-t.test("round trip byte by byte", (t) => {
+t.test("decodes messages that arrive byte by byte", (t) => {
   const decoder = new FrameDecoder({ peer: "peer" });
   const received: Message[] = [];
   for (const byte of encodeFrame(messages)) {
@@ -31,16 +31,16 @@
   t.end();
 });
 
-t.test("two frames in one read", (t) => {
+t.test("decodes two frames that arrive together", (t) => {
   const decoder = new FrameDecoder({ peer: "peer" });
   const frame = encodeFrame(messages);
   t.equal(decoder.push(Buffer.concat([frame, frame])).length, 4);
   t.end();
 });
 
-t.test("announced size beyond the bound", (t) => {
+t.test("rejects a frame whose announced size exceeds the limit", (t) => {
   const decoder = new FrameDecoder({ peer: "peer", maximumFrameBytes: 10 });
-  t.match(caught(() => decoder.push(Buffer.from([0, 0, 0, 11]))), {
+  t.match(thrownBy(() => decoder.push(Buffer.from([0, 0, 0, 11]))), {
     reason: "frame_too_large",
     step: "decode",
     peer: "peer",
@@ -48,16 +48,16 @@
   t.end();
 });
 
-t.test("bytes that are no frame", (t) => {
+t.test("rejects a frame whose payload is not CBOR", (t) => {
   const decoder = new FrameDecoder({ peer: "peer" });
   const bytes = Buffer.from([0, 0, 0, 3, 0xff, 0xff, 0xff]);
   t.throws(() => decoder.push(bytes), LinkError);
   t.end();
 });
 
-t.test("an unknown message names its field", (t) => {
+t.test("rejects a message that does not match the schema", (t) => {
   const decoder = new FrameDecoder({ peer: "peer" });
   const frame = encodeFrame([{ type: "grant", reservation: -1 } as Message]);
-  t.match(caught(() => decoder.push(frame)), { reason: "unknown_message" });
+  t.match(thrownBy(() => decoder.push(frame)), { reason: "unknown_message" });
   t.end();
 });
--- a/packages/protocol/test/handshake_test.ts
+++ b/packages/protocol/test/handshake_test.ts
@@ -22,7 +22,7 @@
   return { server, host: "127.0.0.1", port };
 }
 
-t.test("both sides learn the other's hello", async (t) => {
+t.test("opens a link and returns the peer's hello", async (t) => {
   const accepted: Promise<unknown>[] = [];
   const { server, host, port } = await listen((socket) => {
     accepted.push(
@@ -43,7 +43,7 @@
   server.close();
 });
 
-t.test("another protocol version is refused", async (t) => {
+t.test("rejects a peer with another protocol version", async (t) => {
   const { server, host, port } = await listen((socket) => {
     void acceptLink({
       socket,
@@ -56,7 +56,7 @@
   server.close();
 });
 
-t.test("nobody listens", async (t) => {
+t.test("fails at the step connect if nothing listens", async (t) => {
   const { server, host, port } = await listen(() => {});
   server.close();
   await once(server, "close");
@@ -64,7 +64,7 @@
   t.ok(opened.isErr && opened.error.step === "connect");
 });
 
-t.test("a bad frame in place of the hello", async (t) => {
+t.test("rejects a connection that does not begin with a frame", async (t) => {
   let outcome: Promise<unknown> | undefined;
   const { server, host, port } = await listen((socket) => {
     outcome = acceptLink({ socket, hello, timeout: 5000 });
