--- a/packages/store/src/call_budget.ts
+++ b/packages/store/src/call_budget.ts
@@ -1,91 +1,93 @@
 /**
- * A process's share of the calls that the platform's service grants the fleet.
+ * Limits a process's calls of a platform service to its share of the calls that
+ * the service can serve for the whole fleet.
  *
  * Load pattern: hundreds of processes call one small service, and all of them
- * want it at once when it returns from an outage. Without a budget their retries
- * hold it down. The token bucket lets a short burst through and then only the
- * process's fair share, whatever the process would like to do.
+ * call it at once when it recovers from an outage. Without a budget their
+ * retries keep it overloaded. The token bucket admits a short burst and then
+ * only the process's fair share, however many calls the process attempts.
  * @module
  */
 
-/** Reads a second that the platform's service carries, with half held back. */
+/** Reads per second that the service can serve, with half kept in reserve. */
 const SERVICE_CALLS_PER_SECOND = 1000;
-/** A process needs this many even in the largest fleet. */
-const LEAST_CALLS_PER_SECOND = 1;
-/** More than this no process has a use for. */
-const MOST_CALLS_PER_SECOND = 50;
-/** Seconds of the rate that may be spent at once. */
+/** Rate that a process needs even in the largest fleet. */
+const MIN_CALLS_PER_SECOND = 1;
+/** Rate that suffices for any process. */
+const MAX_CALLS_PER_SECOND = 50;
+/** Size of a burst, as seconds of calls at the sustained rate. */
 const BURST_SECONDS = 4;
 
-/** Rate of a {@link CallBudget}. */
+/** Rate and burst of a {@link CallBudget}. */
 export type CallBudgetOptions = {
-  /** Calls a second over the long run. */
+  /** Sustained rate, in calls per second. */
   perSecond: number;
-  /** Calls that may follow one another at once. */
+  /** Calls that may be made at once. */
   burst: number;
 };
 
-/** The rate that lets `fleetSize` processes share the service. */
+/** Rate and burst with which `fleetSize` processes share the service evenly. */
 export function callBudgetOptions(fleetSize: number): CallBudgetOptions {
   const share = SERVICE_CALLS_PER_SECOND / Math.max(1, fleetSize);
   const perSecond = Math.min(
-    MOST_CALLS_PER_SECOND,
-    Math.max(LEAST_CALLS_PER_SECOND, share),
+    MAX_CALLS_PER_SECOND,
+    Math.max(MIN_CALLS_PER_SECOND, share),
   );
   return { perSecond, burst: perSecond * BURST_SECONDS };
 }
 
 /**
- * Token bucket over calls. Pure: the present time is an argument. It keeps the
- * time up to which calls are paid for instead of a number of tokens, so that no
- * rounding adds up.
+ * Token bucket for calls; the current time is an argument. It stores the time
+ * up to which calls are charged instead of a number of tokens, so that rounding
+ * errors don't add up.
  */
 export class CallBudget {
   #options: CallBudgetOptions;
-  #paidUntil = Number.NEGATIVE_INFINITY;
-  #refused = 0;
+  #chargedUntil = Number.NEGATIVE_INFINITY;
+  #refusedCalls = 0;
 
   constructor(options: CallBudgetOptions) {
     this.#options = options;
   }
 
-  /** Takes one call out of the budget, or refuses it. `now` in milliseconds. */
-  take(now: number): boolean {
-    if (this.waitFor(now) > 0) {
-      this.#refused += 1;
+  /** Charges one call, or refuses it if over budget. `now` in milliseconds. */
+  tryTake(now: number): boolean {
+    if (this.timeUntilAllowed(now) > 0) {
+      this.#refusedCalls += 1;
       return false;
     }
     this.charge(now, 1);
     return true;
   }
 
-  /** Counts calls that could not wait; those after them wait the longer. */
+  /** Charges calls that could not wait; later calls wait the longer. */
   charge(now: number, calls: number): void {
-    this.#paidUntil = this.#startOfNext(now) + calls * this.#interval;
+    this.#chargedUntil = this.#nextStart(now) + calls * this.#interval;
   }
 
-  /** Milliseconds until a call fits the budget. */
-  waitFor(now: number): number {
-    return Math.max(0, this.#startOfNext(now) + this.#interval - now);
+  /** Milliseconds until the budget allows the next call. */
+  timeUntilAllowed(now: number): number {
+    return Math.max(0, this.#nextStart(now) + this.#interval - now);
   }
 
-  /** Calls refused since the start. */
-  get refused(): number {
-    return this.#refused;
+  /** Calls refused since this object was created. */
+  get refusedCalls(): number {
+    return this.#refusedCalls;
   }
 
-  /** Changes the rate when the fleet has grown or shrunk. */
-  resize(options: CallBudgetOptions): void {
+  /** Changes rate and burst when the fleet has grown or shrunk. */
+  setRate(options: CallBudgetOptions): void {
     this.#options = options;
   }
 
+  /** Milliseconds between calls at the sustained rate. */
   get #interval(): number {
     return 1000 / this.#options.perSecond;
   }
 
-  /** Unused time counts as far back as the burst reaches. */
-  #startOfNext(now: number): number {
+  /** Start of the next charge; unused time counts for one burst at most. */
+  #nextStart(now: number): number {
     const { burst } = this.#options;
-    return Math.max(this.#paidUntil, now - burst * this.#interval);
+    return Math.max(this.#chargedUntil, now - burst * this.#interval);
   }
 }
--- a/packages/store/src/claims/apply_operations.ts
+++ b/packages/store/src/claims/apply_operations.ts
@@ -1,55 +1,55 @@
-/** What a batch of operations makes of a shard. Pure. @module */
+/** Applies a batch of operations to a shard. Pure functions. @module */
 import { isSettled } from "./claim.ts";
 import type { Claim, Claims } from "./claim.ts";
-import type { ClaimAnswer } from "./claim_answer.ts";
-import type { Head } from "./head.ts";
+import type { ClaimResult } from "./claim_result.ts";
+import type { ShardHead } from "./shard_head.ts";
 import type {
   ClaimOperation,
   Operation,
   RecordOperation,
   ReleaseOperation,
 } from "./operation.ts";
-import { loadOutcome } from "./recorded_response.ts";
+import { fromStoredResponse } from "./recorded_response.ts";
 
-/** The shard after the batch. `answers` are those of the claims in it. */
-export type Applied = {
-  head: Head;
-  /** Whether anything is to be written. */
+/** The shard after the batch, and the results of the batch's claims. */
+export type AppliedBatch = {
+  head: ShardHead;
+  /** Whether the head has to be written. */
   changed: boolean;
-  answers: Map<Operation, ClaimAnswer>;
+  results: Map<Operation, ClaimResult>;
 };
 
 /** Applies the operations in order; `sealed` are claims found in segments. */
 export function applyOperations(
-  head: Head,
+  head: ShardHead,
   operations: readonly Operation[],
   sealed: Claims,
-): Applied {
+): AppliedBatch {
   const claims = new Map(head.claims);
-  const answers = new Map<Operation, ClaimAnswer>();
+  const results = new Map<Operation, ClaimResult>();
   let changed = false;
   for (const operation of operations) {
     switch (operation.type) {
       case "claim": {
-        const known = claims.get(operation.identity) ??
+        const existing = claims.get(operation.identity) ??
           sealed.get(operation.identity);
-        if (known === undefined) {
+        if (existing === undefined) {
           claims.set(operation.identity, newClaim(operation));
           changed = true;
         }
-        answers.set(operation, answerOf(operation, known));
+        results.set(operation, resultOf(operation, existing));
         break;
       }
       case "record":
-        changed = record(claims, operation) || changed;
+        changed = applyRecord(claims, operation) || changed;
         break;
       case "release":
-        release(claims, operation);
+        applyRelease(claims, operation);
         changed = true;
         break;
     }
   }
-  return { head: { ...head, claims }, changed, answers };
+  return { head: { ...head, claims }, changed, results };
 }
 
 function newClaim(operation: ClaimOperation): Claim {
@@ -57,47 +57,47 @@
   return { fingerprint, claimant, runsUntil };
 }
 
-/** An own claim found there means that an earlier write's answer was lost. */
-function answerOf(
+/** If the claim found is the own one, an earlier write's response was lost. */
+function resultOf(
   operation: ClaimOperation,
-  known: Claim | undefined,
-): ClaimAnswer {
+  existing: Claim | undefined,
+): ClaimResult {
   const { service, identity, claimant, fingerprint, now } = operation;
-  const own = known?.claimant === claimant && known.outcome === undefined;
-  if (known === undefined || own) {
+  const own = existing?.claimant === claimant && existing.outcome === undefined;
+  if (existing === undefined || own) {
     return { kind: "claimed", claim: { service, identity, claimant } };
   }
-  if (known.fingerprint !== fingerprint) {
+  if (existing.fingerprint !== fingerprint) {
     return { kind: "reused" };
   }
-  if (known.outcome !== undefined && known.outcome !== "unknown") {
-    return { kind: "done", outcome: loadOutcome(known.outcome) };
+  if (existing.outcome !== undefined && existing.outcome !== "unknown") {
+    return { kind: "done", outcome: fromStoredResponse(existing.outcome) };
   }
-  return { kind: isSettled(known, now) ? "unknown" : "running" };
+  return { kind: isSettled(existing, now) ? "unknown" : "running" };
 }
 
-function record(
+function applyRecord(
   claims: Map<string, Claim>,
   operation: RecordOperation,
 ): boolean {
-  const held = claims.get(operation.identity);
+  const existing = claims.get(operation.identity);
   if (
-    held === undefined || held.claimant !== operation.claimant ||
-    held.outcome !== undefined
+    existing === undefined || existing.claimant !== operation.claimant ||
+    existing.outcome !== undefined
   ) {
     return false;
   }
-  claims.set(operation.identity, { ...held, outcome: operation.outcome });
+  claims.set(operation.identity, { ...existing, outcome: operation.outcome });
   return true;
 }
 
-function release(
+function applyRelease(
   claims: Map<string, Claim>,
   operation: ReleaseOperation,
 ): void {
-  const held = claims.get(operation.identity);
+  const existing = claims.get(operation.identity);
   if (
-    held?.claimant === operation.claimant && held.outcome === undefined
+    existing?.claimant === operation.claimant && existing.outcome === undefined
   ) {
     claims.delete(operation.identity);
   }
--- a/packages/store/src/claims/claim.ts
+++ b/packages/store/src/claims/claim.ts
@@ -1,26 +1,26 @@
-/** A non-idempotent request's claim as the service keeps it. @module */
+/** The stored claim of a non-idempotent request. @module */
 import * as v from "valibot";
-import { storedOutcomeSchema } from "./recorded_response.ts";
+import { storedResponseSchema } from "./recorded_response.ts";
 
 /**
- * Clocks of two processes are taken to agree within this bound (milliseconds).
- * It decides only whether a resend is told "running" or "unknown"; whether the
- * request may run depends on no clock.
+ * Maximum difference that is assumed between the clocks of two processes, in
+ * milliseconds. It only decides whether a retry gets "running" or "unknown";
+ * whether the request may run does not depend on any clock.
  */
-export const CLOCK_BOUND = 60_000;
+export const MAX_CLOCK_DIFFERENCE = 60_000;
 
-/** A claim is never taken over: whoever comes later is told what became of it. */
+/** A claim is never taken over: later claims of the same key get its state. */
 export const claimSchema = v.object({
-  /** Hash of the request, to tell a resend from another request. */
+  /** Hash of the request; distinguishes a retry from another request. */
   fingerprint: v.string(),
   /** Unique to one attempt of one process. */
   claimant: v.string(),
-  /** Milliseconds since 1970 by which the claimant has recorded an outcome. */
+  /** Milliseconds since 1970 by which the claimant records an outcome. */
   runsUntil: v.number(),
-  /** Absent while it runs. */
-  outcome: v.optional(v.union([storedOutcomeSchema, v.literal("unknown")])),
+  /** Absent while the request runs. */
+  outcome: v.optional(v.union([storedResponseSchema, v.literal("unknown")])),
 });
-/** See {@link claimSchema}. */
+/** A claim; fields as in {@link claimSchema}. */
 export type Claim = v.InferOutput<typeof claimSchema>;
 
 /** Claims by identity, as stored. */
@@ -28,7 +28,8 @@
 /** Claims by identity. */
 export type Claims = ReadonlyMap<string, Claim>;
 
-/** Whether nothing more is to be expected of the claimant at `now`. */
+/** Whether the claimant has recorded an outcome, or won't do so after `now`. */
 export function isSettled(claim: Claim, now: number): boolean {
-  return claim.outcome !== undefined || now > claim.runsUntil + CLOCK_BOUND;
+  return claim.outcome !== undefined ||
+    now > claim.runsUntil + MAX_CLOCK_DIFFERENCE;
 }
--- a/packages/store/src/claims/claim_identity.ts
+++ b/packages/store/src/claims/claim_identity.ts
@@ -1,20 +1,25 @@
-/** Which claim a request's idempotency key means, and where it is kept. @module */
+/**
+ * Maps a request's idempotency key to the identity of its claim and to the
+ * shard that stores it.
+ * @module
+ */
 import { createHash } from "node:crypto";
 
 /**
- * Keys of the service that share the claims. Fixed for a fleet: with another
- * number a key would be looked for in another place and be claimed anew.
+ * Number of shards, each one key of the key-value service, that the claims of a
+ * service are divided among. Fixed for a fleet: with another number, a key
+ * would be looked up in another shard and could be claimed again.
  */
-export const SHARDS = 4;
+export const SHARD_COUNT = 4;
 
 const IDENTITY_BYTES = 16;
-/** Bytes of an identity by which sealed claims are looked up. */
+/** Bytes of an identity by which the index of sealed claims finds it. */
 export const PREFIX_BYTES = 3;
 
-/** Whose key it is; the same key of two organisations is two keys. */
+/** The key and its owner; the same key of two organisations is two keys. */
 export type ClaimKey = { service: string; organisation: string; key: string };
 
-/** A name of fixed length, whatever the caller's key is made of. */
+/** Identifier of a claim; its length does not depend on the caller's key. */
 export function claimIdentity(claimKey: ClaimKey): string {
   const { service, organisation, key } = claimKey;
   return createHash("sha256")
@@ -24,13 +29,13 @@
     .toString("base64url");
 }
 
-/** The shard that keeps the claim. */
+/** Number of the shard that stores the claim. */
 export function shardOf(identity: string): number {
   const last = Buffer.from(identity, "base64url").at(-1) ?? 0;
-  return last % SHARDS;
+  return last % SHARD_COUNT;
 }
 
-/** First bytes of the identity. */
+/** First {@link PREFIX_BYTES} bytes of the identity. */
 export function prefixOf(identity: string): Buffer {
   return Buffer.from(identity, "base64url").subarray(0, PREFIX_BYTES);
 }
--- a/packages/store/src/claims/claim_ledger.ts
+++ b/packages/store/src/claims/claim_ledger.ts
@@ -1,7 +1,7 @@
 /**
- * Lets each non-idempotent request run at most once over the whole fleet. Its
- * idempotency key is claimed in the platform's key-value service before it is
- * dispatched; its outcome is kept there for resends. See
+ * Ensures that each non-idempotent request runs at most once in the whole
+ * fleet. Its idempotency key is claimed in the platform's key-value service
+ * before it is dispatched; its outcome is stored there for retries. See
  * docs/design/idempotency.md.
  * @module
  */
@@ -12,38 +12,47 @@
 import type { CallBudgetOptions } from "../call_budget.ts";
 import type { KeyValueStore } from "../key_value_store.ts";
 import type { PlatformError } from "../platform_error.ts";
-import type { ClaimAnswer, HeldClaim } from "./claim_answer.ts";
-import { claimIdentity, shardOf, SHARDS } from "./claim_identity.ts";
+import type { ClaimResult, HeldClaim } from "./claim_result.ts";
+import { claimIdentity, SHARD_COUNT, shardOf } from "./claim_identity.ts";
 import type { ClaimKey } from "./claim_identity.ts";
 import { ClaimShard } from "./claim_shard.ts";
-import { claimCommitBudgetOptions, CommitPace } from "./commit_pace.ts";
-import { storeOutcome } from "./recorded_response.ts";
+import {
+  claimCommitBudgetOptions,
+  CommitRateLimiter,
+} from "./commit_rate_limiter.ts";
+import { toStoredResponse } from "./recorded_response.ts";
 import type { RecordedResponse } from "./recorded_response.ts";
 
+/** Milliseconds that outcomes are kept. */
 const DEFAULT_RETENTION = 24 * 60 * 60 * 1000;
+/** Milliseconds within which a claimed request is expected to end. */
 const DEFAULT_DURATION = 10 * 60 * 1000;
+/** Milliseconds. */
 const DEFAULT_CLAIM_TIMEOUT = 2000;
-const DEFAULT_SETTLEMENT_DELAY = 300;
+/** Milliseconds. */
+const DEFAULT_BATCH_DELAY = 300;
+/** Processes. */
 const DEFAULT_FLEET_SIZE = 30;
 
-/** What a ledger needs; most have defaults for one process in a small fleet. */
+/** Options of a ledger; the defaults suit a process in a small fleet. */
 export type ClaimLedgerOptions = {
   store: KeyValueStore;
   /** Unique to one start of one process. */
   incarnation?: string;
-  /** Milliseconds that a service's outcomes are kept. */
+  /** Milliseconds that the outcomes of a service are kept. */
   retention?: (service: string) => number;
-  /** Writes of this process for each service; see `claimCommitOptions`. */
+  /** Calls of this process for each service; see `claimCommitBudgetOptions`. */
   commitBudget?: CallBudgetOptions;
-  /** Milliseconds after which a claim fails closed. */
+  /** Milliseconds until a claim fails, and its request is not dispatched. */
   claimTimeout?: number;
-  /** Milliseconds that outcomes wait for company before they are written. */
+  /** Milliseconds that outcomes and releases wait to share a write. */
   batchDelay?: number;
-  /** Prefix of the keys. */
+  /** Prefix of the keys in the key-value service. */
   prefix?: string;
+  /** Resolves after `duration` milliseconds. */
   pause?: (duration: number) => Promise<void>;
   random?: () => number;
-  /** Milliseconds of a clock that never steps back; spaces the commits. */
+  /** Monotonic clock in milliseconds, for the rate of commits. */
   clock?: () => number;
   /** Milliseconds since 1970. */
   wallClock?: () => number;
@@ -51,7 +60,7 @@
 
 /** A request that must not run twice. */
 export type ClaimRequest = ClaimKey & {
-  /** Hash of method, path and body; a resend has the same. */
+  /** Hash of method, path and body; a retry has the same. */
   fingerprint: string;
   /** Milliseconds since 1970. */
   now: number;
@@ -59,10 +68,10 @@
   duration?: number;
 };
 
-/** Events since the start. */
-export type ClaimCounts = Record<ClaimAnswer["kind"] | "failed", number>;
+/** Results of claims since the start, by kind; `failed` are errors. */
+export type ClaimCounts = Record<ClaimResult["kind"] | "failed", number>;
 
-/** One for each process. */
+/** Claims, records and releases idempotency keys. One for each process. */
 export class ClaimLedger {
   readonly counts: ClaimCounts = {
     claimed: 0,
@@ -74,7 +83,7 @@
   };
   readonly #incarnation: string;
   readonly #options: ClaimLedgerOptions;
-  readonly #services = new Map<string, ClaimShard[]>();
+  readonly #shardsByService = new Map<string, ClaimShard[]>();
   #attempts = 0;
 
   constructor(options: ClaimLedgerOptions) {
@@ -83,15 +92,16 @@
   }
 
   /**
-   * Asks whether the request may be dispatched. An error means that it may not,
-   * and that "not run" is true of this attempt.
+   * Claims the request's key. After an error the request must not be
+   * dispatched, and its caller can be told truthfully that this attempt did not
+   * run.
    */
   async claim(
     request: ClaimRequest,
-  ): Promise<Result<ClaimAnswer, PlatformError>> {
+  ): Promise<Result<ClaimResult, PlatformError>> {
     this.#attempts += 1;
     const identity = claimIdentity(request);
-    const answer = await this.#shard(request.service, identity).submit({
+    const result = await this.#shard(request.service, identity).submit({
       type: "claim",
       service: request.service,
       identity,
@@ -100,13 +110,14 @@
       runsUntil: request.now + (request.duration ?? DEFAULT_DURATION),
       now: request.now,
     });
-    this.counts[answer.isOk ? (answer.value?.kind ?? "failed") : "failed"] += 1;
-    return answer.map((answer) => answer as ClaimAnswer);
+    this.counts[result.isOk ? (result.value?.kind ?? "failed") : "failed"] += 1;
+    return result.map((result) => result as ClaimResult);
   }
 
   /**
-   * Keeps what became of a dispatched request; `"unknown"` when its link was cut.
-   * Resolves once stored; the caller need not be kept waiting for it.
+   * Stores the outcome of a dispatched request; `"unknown"` if its link was
+   * lost. Resolves once stored; the response to the caller need not wait for
+   * that.
    */
   async record(
     options: { claim: HeldClaim; outcome: RecordedResponse | "unknown" },
@@ -117,12 +128,12 @@
       type: "record",
       identity,
       claimant,
-      outcome: outcome === "unknown" ? outcome : storeOutcome(outcome),
+      outcome: outcome === "unknown" ? outcome : toStoredResponse(outcome),
     });
     return stored.map(() => undefined);
   }
 
-  /** Frees the key of a request that certainly did not run. */
+  /** Releases the key of a request that certainly did not run. */
   async release(claim: HeldClaim): Promise<Result<void, PlatformError>> {
     const { service, identity, claimant } = claim;
     const released = await this.#shard(service, identity)
@@ -132,15 +143,15 @@
 
   /** Resolves when all outcomes and releases are stored or given up. */
   async waitForDrain(): Promise<void> {
-    const shards = [...this.#services.values()].flat();
-    await Promise.all(shards.map((shard) => shard.drained()));
+    const shards = [...this.#shardsByService.values()].flat();
+    await Promise.all(shards.map((shard) => shard.waitForDrain()));
   }
 
-  /** Each service has its own shards: one's flood fills no other's. */
+  /** Shards are per service, so that a flood of one leaves others alone. */
   #shard(service: string, identity: string): ClaimShard {
-    const shards = this.#services.get(service) ??
+    const shards = this.#shardsByService.get(service) ??
       createShards(this.#options, service);
-    this.#services.set(service, shards);
+    this.#shardsByService.set(service, shards);
     return shards[shardOf(identity)] as ClaimShard;
   }
 }
@@ -153,7 +164,7 @@
     store,
     retention = () => DEFAULT_RETENTION,
     claimTimeout = DEFAULT_CLAIM_TIMEOUT,
-    batchDelay: settlementDelay = DEFAULT_SETTLEMENT_DELAY,
+    batchDelay = DEFAULT_BATCH_DELAY,
     prefix = "claims",
     pause = (duration) => sleep(duration),
     random = Math.random,
@@ -163,17 +174,17 @@
   const budget = new CallBudget(
     options.commitBudget ?? claimCommitBudgetOptions(DEFAULT_FLEET_SIZE),
   );
-  const pace = new CommitPace({ budget, clock, pause });
-  return Array.from({ length: SHARDS }, (_, index) =>
+  const rateLimiter = new CommitRateLimiter({ budget, clock, pause });
+  return Array.from({ length: SHARD_COUNT }, (_, index) =>
     new ClaimShard({
       store,
-      key: `${prefix}/${service}/${SHARDS}/${index}`,
+      key: `${prefix}/${service}/${SHARD_COUNT}/${index}`,
       retention: () => retention(service),
-      pace,
+      rateLimiter,
       pause,
       random,
       now: wallClock,
-      settlementDelay,
+      batchDelay,
       claimTimeout,
     }));
 }
--- a/packages/store/src/claims/claim_answer.ts
+++ b/packages/store/src/claims/claim_result.ts
@@ -1,4 +1,4 @@
-/** What a process may do with a non-idempotent request. @module */
+/** Result of claiming a non-idempotent request's idempotency key. @module */
 import type { RecordedResponse } from "./recorded_response.ts";
 
 /** Held by the process that may dispatch the request, once. */
@@ -9,13 +9,15 @@
 };
 
 /**
- * - `claimed`: dispatch it, then record or release.
- * - `done`: it ran; answer with the outcome.
- * - `running`: it runs, or its claimant died lately; come back.
- * - `unknown`: it may have run, and nobody will learn more.
+ * - `claimed`: dispatch the request, then record its outcome or release the
+ *   claim.
+ * - `done`: the request ran; respond with the recorded response.
+ * - `running`: the request is running, or its claimant crashed recently; retry
+ *   later.
+ * - `unknown`: the request may have run, and its outcome will never be known.
  * - `reused`: the key belongs to a request with another fingerprint.
  */
-export type ClaimAnswer =
+export type ClaimResult =
   | { kind: "claimed"; claim: HeldClaim }
   | { kind: "done"; outcome: RecordedResponse }
   | { kind: "running" }
--- a/packages/store/src/claims/claim_shard.ts
+++ b/packages/store/src/claims/claim_shard.ts
@@ -1,114 +1,119 @@
 /**
- * The claims of one shard as one process sees them. A single loop commits the
- * waiting operations together, so that a burst of requests costs a few writes.
+ * One process's access to one shard of the claims. A single loop commits the
+ * pending operations in batches, so that a burst of requests takes only a few
+ * writes.
  * @module
  */
 import { Result } from "true-myth/result";
 import type { KeyValueStore } from "../key_value_store.ts";
 import type { PlatformError } from "../platform_error.ts";
-import type { ClaimAnswer } from "./claim_answer.ts";
-import type { CommitPace } from "./commit_pace.ts";
+import type { ClaimResult } from "./claim_result.ts";
+import type { CommitRateLimiter } from "./commit_rate_limiter.ts";
 import { commitBatch } from "./commit_batch.ts";
 import type { CachedHead, CommitOutcome } from "./commit_batch.ts";
 import type { Operation } from "./operation.ts";
 import { SealedClaims } from "./sealed_claims.ts";
 
 /** Operations in one write. */
-const BATCH_LENGTH = 200;
-/** Operations that may wait; outcomes have bodies, so they bound memory. */
-const WAITING_LENGTH = 200;
-/** Milliseconds after which an outcome or a release is given up. */
-const SETTLEMENT_DURATION = 10 * 60 * 1000;
-const LONGEST_PAUSE = 15_000;
-
-/** What a shard needs. */
-export type ShardOptions = {
+const MAX_BATCH_OPERATIONS = 200;
+/** Operations that may be pending; bounds memory, as outcomes have bodies. */
+const MAX_PENDING_OPERATIONS = 200;
+/** Milliseconds after which storing an outcome or a release is given up. */
+const SETTLEMENT_TIMEOUT = 10 * 60 * 1000;
+/** Milliseconds, before jitter, that outcomes wait at most after failures. */
+const MAX_BACKOFF = 15_000;
+
+/** Options of a {@link ClaimShard}. */
+export type ClaimShardOptions = {
   store: KeyValueStore;
   key: string;
-  /** Milliseconds that claims are kept once settled. */
+  /** Milliseconds that settled claims are kept. */
   retention: () => number;
-  pace: CommitPace;
+  rateLimiter: CommitRateLimiter;
   pause: (duration: number) => Promise<void>;
   random: () => number;
   /** Milliseconds since 1970. */
   now: () => number;
-  /** Milliseconds that outcomes wait for company. */
-  settlementDelay: number;
-  /** Milliseconds after which a claim fails closed. */
+  /** Milliseconds that outcomes and releases wait to share a write. */
+  batchDelay: number;
+  /** Milliseconds until a claim fails, and its request is not dispatched. */
   claimTimeout: number;
 };
 
-type Settled = Result<ClaimAnswer | undefined, PlatformError>;
+type OperationResult = Result<ClaimResult | undefined, PlatformError>;
 
-type Waiting = {
+type PendingOperation = {
   operation: Operation;
-  settle: (outcome: Settled) => void;
-  /** Milliseconds since 1970 from which it is not tried again. */
-  givenUpAt: number;
-  /** Nobody waits for the answer any more. */
+  resolve: (outcome: OperationResult) => void;
+  /** Milliseconds since 1970 after which an outcome or release is given up. */
+  retryDeadline: number;
+  /** The claim has timed out: nobody waits for its result any more. */
   abandoned: boolean;
 };
 
-/** See the module. */
+/** Queues the operations on a shard and commits them in batches. */
 export class ClaimShard {
-  readonly #options: ShardOptions;
+  readonly #options: ClaimShardOptions;
   readonly #sealed: SealedClaims;
-  #waiting: Waiting[] = [];
-  #running: Promise<void> | undefined;
-  #failuresInRow = 0;
+  #pending: PendingOperation[] = [];
+  #loop: Promise<void> | undefined;
+  #consecutiveFailures = 0;
   #cached: CachedHead | undefined;
-  #claimArrived: () => void = () => {};
+  #onClaimSubmitted: () => void = () => {};
 
-  constructor(options: ShardOptions) {
+  constructor(options: ClaimShardOptions) {
     this.#options = options;
     this.#sealed = new SealedClaims(options.store);
   }
 
-  /** Resolves once the operation is committed, or will not be. */
-  submit(operation: Operation): Promise<Settled> {
-    if (this.#waiting.length >= WAITING_LENGTH) {
-      return Promise.resolve(Result.err(this.#full()));
+  /** Resolves once the operation is committed or has finally failed. */
+  submit(operation: Operation): Promise<OperationResult> {
+    if (this.#pending.length >= MAX_PENDING_OPERATIONS) {
+      return Promise.resolve(Result.err(this.#queueFullError()));
     }
-    return new Promise((settle) => {
-      const waiting = this.#enqueue(operation, settle);
+    return new Promise((resolve) => {
+      const pending = this.#enqueue(operation, resolve);
       if (operation.type === "claim") {
-        this.#claimArrived();
+        this.#onClaimSubmitted();
         void this.#options.pause(this.#options.claimTimeout)
-          .then(() => this.#abandon(waiting));
+          .then(() => this.#abandon(pending));
       }
     });
   }
 
-  /** Resolves when nothing waits any more. */
-  async drained(): Promise<void> {
-    while (this.#running !== undefined) {
-      await this.#running;
+  /** Resolves when no operation is pending any more. */
+  async waitForDrain(): Promise<void> {
+    while (this.#loop !== undefined) {
+      await this.#loop;
     }
   }
 
-  #enqueue(operation: Operation, settle: (outcome: Settled) => void): Waiting {
-    const givenUpAt = this.#options.now() + SETTLEMENT_DURATION;
-    const waiting = { operation, settle, givenUpAt, abandoned: false };
-    this.#waiting.push(waiting);
-    this.#start();
-    return waiting;
+  #enqueue(
+    operation: Operation,
+    resolve: (outcome: OperationResult) => void,
+  ): PendingOperation {
+    const retryDeadline = this.#options.now() + SETTLEMENT_TIMEOUT;
+    const pending = { operation, resolve, retryDeadline, abandoned: false };
+    this.#pending.push(pending);
+    this.#startLoop();
+    return pending;
   }
 
-  /** What is enqueued while a loop ends has to start another. */
-  #start(): void {
-    this.#running ??= this.#run().finally(() => {
-      this.#running = undefined;
-      if (this.#waiting.length > 0) {
-        this.#start();
+  /** An operation that is enqueued while a loop ends starts another loop. */
+  #startLoop(): void {
+    this.#loop ??= this.#runLoop().finally(() => {
+      this.#loop = undefined;
+      if (this.#pending.length > 0) {
+        this.#startLoop();
       }
     });
   }
 
-  async #run(): Promise<void> {
-    while (this.#waiting.length > 0) {
-      await this.#untilDue();
-      await this.#options.pace.turn();
-      const batch = this.#waiting.splice(0, BATCH_LENGTH);
+  async #runLoop(): Promise<void> {
+    while (this.#pending.length > 0) {
+      await this.#waitUntilDue();
+      await this.#options.rateLimiter.waitForTurn();
+      const batch = this.#pending.splice(0, MAX_BATCH_OPERATIONS);
       if (batch.length === 0) {
         continue;
       }
@@ -119,79 +124,89 @@
         operations: batch.map(({ operation }) => operation),
       });
       this.#cached = outcome.cached;
-      this.#settle(batch, outcome);
+      this.#resolveBatch(batch, outcome);
     }
   }
 
-  /** A claim goes at once; outcomes wait for company, or until the service is back. */
-  #untilDue(): Promise<void> {
-    if (this.#waiting.some(({ operation }) => operation.type === "claim")) {
+  /**
+   * Claims are committed at once. Without any, outcomes and releases wait for
+   * others to share their write, or for a backoff after failures.
+   */
+  #waitUntilDue(): Promise<void> {
+    if (this.#pending.some(({ operation }) => operation.type === "claim")) {
       return Promise.resolve();
     }
-    const { pause, settlementDelay, random } = this.#options;
-    const backoff = settlementDelay * 2 ** Math.min(this.#failuresInRow, 10);
-    const delay = Math.min(LONGEST_PAUSE, backoff) * (0.5 + random());
+    const { pause, batchDelay, random } = this.#options;
+    const backoff = batchDelay * 2 ** Math.min(this.#consecutiveFailures, 10);
+    const delay = Math.min(MAX_BACKOFF, backoff) * (0.5 + random());
     const arrived = new Promise<void>((resolve) => {
-      this.#claimArrived = resolve;
+      this.#onClaimSubmitted = resolve;
     });
     return Promise.race([pause(delay), arrived]);
   }
 
-  #settle(batch: Waiting[], outcome: CommitOutcome): void {
-    if (outcome.answers.isOk) {
-      this.#failuresInRow = 0;
-      for (const waiting of batch) {
-        this.#committed(waiting, outcome.answers.value.get(waiting.operation));
+  #resolveBatch(batch: PendingOperation[], outcome: CommitOutcome): void {
+    if (outcome.results.isOk) {
+      this.#consecutiveFailures = 0;
+      for (const pending of batch) {
+        this.#resolveCommitted(
+          pending,
+          outcome.results.value.get(pending.operation),
+        );
       }
       return;
     }
-    this.#failuresInRow += 1;
-    for (const waiting of batch) {
-      this.#failed(waiting, outcome.answers.error);
+    this.#consecutiveFailures += 1;
+    for (const pending of batch) {
+      this.#handleFailure(pending, outcome.results.error);
     }
   }
 
-  #committed(waiting: Waiting, answer: ClaimAnswer | undefined): void {
-    if (waiting.abandoned && answer?.kind === "claimed") {
-      this.#release(waiting.operation);
+  #resolveCommitted(
+    pending: PendingOperation,
+    result: ClaimResult | undefined,
+  ): void {
+    if (pending.abandoned && result?.kind === "claimed") {
+      this.#release(pending.operation);
     }
-    waiting.settle(Result.ok(answer));
+    pending.resolve(Result.ok(result));
   }
 
   /**
    * A claim fails closed: its request is not dispatched. If its write may still
-   * land, it is released. Outcomes and releases are tried again, because without
-   * them a resend would be told "unknown".
+   * take effect, it is released. Outcomes and releases are retried, because
+   * without them a retry of the request would get "unknown".
    */
-  #failed(waiting: Waiting, error: PlatformError): void {
-    const { operation, settle } = waiting;
+  #handleFailure(pending: PendingOperation, error: PlatformError): void {
+    const { operation, resolve } = pending;
     if (
-      operation.type !== "claim" && this.#options.now() < waiting.givenUpAt
+      operation.type !== "claim" && this.#options.now() < pending.retryDeadline
     ) {
-      this.#waiting.push(waiting);
+      this.#pending.push(pending);
       return;
     }
     if (operation.type === "claim" && error.applied === "unknown") {
       this.#release(operation);
     }
-    settle(Result.err(error));
+    resolve(Result.err(error));
   }
 
   /**
-   * While the service hangs, a caller would wait for several timeouts only to be
-   * refused. Its claim is refused earlier, and released if it lands after all.
+   * While the service hangs, a caller would wait for several timeouts only to
+   * be refused. Its claim fails earlier, and is released if it is committed
+   * after all.
    */
-  #abandon(waiting: Waiting): void {
-    waiting.abandoned = true;
-    const remaining = this.#waiting.filter((other) => other !== waiting);
-    const sent = remaining.length === this.#waiting.length;
-    this.#waiting = remaining;
-    waiting.settle(Result.err({
+  #abandon(pending: PendingOperation): void {
+    pending.abandoned = true;
+    const remaining = this.#pending.filter((other) => other !== pending);
+    const sent = remaining.length === this.#pending.length;
+    this.#pending = remaining;
+    pending.resolve(Result.err({
       step: "claim",
       peer: this.#options.key,
       reason: "timeout",
       applied: sent ? "unknown" : "no",
-      detail: `no answer within ${this.#options.claimTimeout} ms`,
+      detail: `no response within ${this.#options.claimTimeout} ms`,
     }));
   }
 
@@ -199,13 +214,14 @@
     this.#enqueue({ type: "release", identity, claimant }, () => {});
   }
 
-  #full(): PlatformError {
+  #queueFullError(): PlatformError {
     return {
       step: "claim",
       peer: this.#options.key,
       reason: "budget",
       applied: "no",
-      detail: `${WAITING_LENGTH} operations wait for the key-value service`,
+      detail:
+        `${MAX_PENDING_OPERATIONS} operations wait for the key-value service`,
     };
   }
 }
--- a/packages/store/src/claims/commit_batch.ts
+++ b/packages/store/src/claims/commit_batch.ts
@@ -1,28 +1,30 @@
-/** One batch of operations, written by compare-and-swap. @module */
+/** Commits one batch of operations to a shard by compare-and-swap. @module */
 import { Result } from "true-myth/result";
 import { MAXIMUM_VALUE_BYTES } from "../key_value_store.ts";
 import type { KeyValueEntry, KeyValueStore } from "../key_value_store.ts";
 import type { PlatformError } from "../platform_error.ts";
 import { applyOperations } from "./apply_operations.ts";
-import type { ClaimAnswer } from "./claim_answer.ts";
-import type { CommitPace } from "./commit_pace.ts";
-import { decodeHead, EMPTY_HEAD, encodeHead } from "./head.ts";
-import type { Head } from "./head.ts";
+import type { ClaimResult } from "./claim_result.ts";
+import type { CommitRateLimiter } from "./commit_rate_limiter.ts";
+import { decodeHead, EMPTY_HEAD, encodeHead } from "./shard_head.ts";
+import type { ShardHead } from "./shard_head.ts";
 import type { Operation } from "./operation.ts";
 import type { SealedClaims } from "./sealed_claims.ts";
-import { seal, SEALING_BYTES, SEALING_CALLS } from "./sealing.ts";
+import { seal, SEALING_CALLS, SEALING_THRESHOLD_BYTES } from "./sealing.ts";
 
-/** Lost answers after which a batch fails. */
-const ATTEMPTS_IN_DOUBT = 4;
-/** Races lost to other processes after which a batch fails. */
-const ATTEMPTS_IN_RACE = 8;
-const PAUSE_IN_DOUBT = 100;
-const PAUSE_IN_RACE = 5;
+/** Writes with unknown effect after which a batch fails. */
+const MAX_AMBIGUOUS_WRITES = 4;
+/** Conflicts with writes of other processes after which a batch fails. */
+const MAX_CONFLICTS = 8;
+/** Milliseconds of the pause after the first write with unknown effect. */
+const AMBIGUOUS_WRITE_PAUSE = 100;
+/** Maximum milliseconds of the pause after the second conflict. */
+const CONFLICT_PAUSE = 5;
 
-/** A head with the revision at which it was seen. */
-export type CachedHead = { head: Head; revision: number };
+/** A shard's head with its revision in the key-value service. */
+export type CachedHead = { head: ShardHead; revision: number };
 
-/** A batch and what is known of the shard. */
+/** A batch of operations and the shard that it is for. */
 export type BatchOptions = {
   store: KeyValueStore;
   key: string;
@@ -30,24 +32,24 @@
   sealed: SealedClaims;
   operations: readonly Operation[];
   retention: () => number;
-  pace: CommitPace;
+  rateLimiter: CommitRateLimiter;
   pause: (duration: number) => Promise<void>;
   random: () => number;
   now: () => number;
 };
 
-/** The answers of the batch's claims, and the head for the next batch. */
+/** Results of the batch's claims, and the head for the next batch. */
 export type CommitOutcome = {
-  answers: Result<ReadonlyMap<Operation, ClaimAnswer>, PlatformError>;
+  results: Result<ReadonlyMap<Operation, ClaimResult>, PlatformError>;
   cached: CachedHead | undefined;
 };
 
-type Answers = ReadonlyMap<Operation, ClaimAnswer>;
+type ClaimResults = ReadonlyMap<Operation, ClaimResult>;
 
 /**
- * Commits all operations or fails as a whole. An answer is given only from a
- * head that was the service's at the time: one that the swap confirmed, or that
- * was read anew.
+ * Commits all operations or fails as a whole. Results are based only on a head
+ * that was stored in the service at the time: one that the swap confirmed, or
+ * that was read again for this batch.
  */
 export function commitBatch(options: BatchOptions): Promise<CommitOutcome> {
   return new BatchCommit(options).run();
@@ -56,10 +58,10 @@
 class BatchCommit {
   readonly #options: BatchOptions;
   #cached: CachedHead | undefined;
-  #fresh = false;
-  #doubt: PlatformError | undefined;
-  #doubts = 0;
-  #races = 0;
+  #headReadInBatch = false;
+  #ambiguousError: PlatformError | undefined;
+  #ambiguousWrites = 0;
+  #conflicts = 0;
 
   constructor(options: BatchOptions) {
     this.#options = options;
@@ -68,15 +70,15 @@
 
   async run(): Promise<CommitOutcome> {
     for (;;) {
-      const answers = await this.#attempt();
-      if (answers !== undefined) {
-        return { answers, cached: this.#cached };
+      const results = await this.#attempt();
+      if (results !== undefined) {
+        return { results, cached: this.#cached };
       }
     }
   }
 
-  /** `undefined` asks for another attempt. */
-  async #attempt(): Promise<Result<Answers, PlatformError> | undefined> {
+  /** Returns `undefined` if another attempt is needed. */
+  async #attempt(): Promise<Result<ClaimResults, PlatformError> | undefined> {
     const { operations } = this.#options;
     const current = this.#cached ?? await this.#read();
     if (current === undefined || "reason" in current) {
@@ -88,10 +90,10 @@
     }
     const applied = applyOperations(current.head, operations, sealed.value);
     if (applied.changed) {
-      return this.#swap(current, applied.head, applied.answers);
+      return this.#swap(current, applied.head, applied.results);
     }
-    if (this.#fresh) {
-      return Result.ok(applied.answers);
+    if (this.#headReadInBatch) {
+      return Result.ok(applied.results);
     }
     this.#cached = undefined;
     return undefined;
@@ -103,49 +105,59 @@
     if (entry.isErr) {
       return entry.error;
     }
-    return this.#see(entry.value);
+    return this.#cacheHead(entry.value);
   }
 
-  #see(entry: KeyValueEntry | undefined): CachedHead | PlatformError {
+  #cacheHead(entry: KeyValueEntry | undefined): CachedHead | PlatformError {
     const head = entry === undefined ? EMPTY_HEAD : decodeHead(entry.value);
     if (head === undefined) {
-      return this.#error("malformed", "the value holds no claims");
+      return this.#createError(
+        "malformed",
+        "the stored value is not a shard of claims",
+      );
     }
     this.#cached = { head, revision: entry?.revision ?? 0 };
-    this.#fresh = true;
+    this.#headReadInBatch = true;
     return this.#cached;
   }
 
   async #swap(
     current: CachedHead,
-    next: Head,
-    answers: Answers,
-  ): Promise<Result<Answers, PlatformError> | undefined> {
+    next: ShardHead,
+    results: ClaimResults,
+  ): Promise<Result<ClaimResults, PlatformError> | undefined> {
     const { store, key } = this.#options;
-    const { head, value } = await this.#relieved(next);
+    const { head, value } = await this.#sealIfLarge(next);
     if (Buffer.byteLength(value) > MAXIMUM_VALUE_BYTES) {
-      return this.#fail(this.#error("too_large", "the shard is full"));
+      return this.#fail(
+        this.#createError(
+          "too_large",
+          "the shard's claims do not fit a stored value",
+        ),
+      );
     }
     const expected = current.revision;
     const outcome = await store.compareAndSwap({ key, expected, value });
     if (outcome.isErr) {
-      return this.#unsure(outcome.error);
+      return this.#handleAmbiguousWrite(outcome.error);
     }
     if (outcome.value.swapped) {
       this.#cached = { head, revision: outcome.value.revision };
-      return Result.ok(answers);
+      return Result.ok(results);
     }
-    const seen = this.#see(outcome.value.current);
-    return "reason" in seen ? this.#fail(seen) : this.#raceLost();
+    const newest = this.#cacheHead(outcome.value.current);
+    return "reason" in newest ? this.#fail(newest) : this.#handleConflict();
   }
 
-  async #relieved(next: Head): Promise<{ head: Head; value: string }> {
+  async #sealIfLarge(
+    next: ShardHead,
+  ): Promise<{ head: ShardHead; value: string }> {
     const value = encodeHead(next);
-    if (value.length < SEALING_BYTES) {
+    if (value.length < SEALING_THRESHOLD_BYTES) {
       return { head: next, value };
     }
-    const { store, sealed, key, retention, pace, now } = this.#options;
-    pace.charge(SEALING_CALLS);
+    const { store, sealed, key, retention, rateLimiter, now } = this.#options;
+    rateLimiter.charge(SEALING_CALLS);
     const head = await seal({
       store,
       sealed,
@@ -160,49 +172,59 @@
   }
 
   /**
-   * The write may have taken effect, may do so yet, or never will. The next
-   * attempt names the same revision: if this one took effect, that one is refused
-   * and brings back a head in which the claimants are found.
+   * The write may have taken effect, may still do so, or may be lost. The next
+   * attempt expects the same revision: if this write took effect, the next one
+   * is refused and returns a head that contains this batch's claims.
    */
-  async #unsure(
+  async #handleAmbiguousWrite(
     error: PlatformError,
-  ): Promise<Result<Answers, PlatformError> | undefined> {
-    if (error.applied === "no" && this.#doubt === undefined) {
+  ): Promise<Result<ClaimResults, PlatformError> | undefined> {
+    if (error.applied === "no" && this.#ambiguousError === undefined) {
       return this.#fail(error);
     }
-    this.#doubt ??= error;
-    this.#doubts += 1;
-    this.#options.pace.charge(1);
-    if (this.#doubts >= ATTEMPTS_IN_DOUBT) {
+    this.#ambiguousError ??= error;
+    this.#ambiguousWrites += 1;
+    this.#options.rateLimiter.charge(1);
+    if (this.#ambiguousWrites >= MAX_AMBIGUOUS_WRITES) {
       return this.#fail(error);
     }
-    await this.#options.pause(PAUSE_IN_DOUBT * this.#doubts);
+    await this.#options.pause(AMBIGUOUS_WRITE_PAUSE * this.#ambiguousWrites);
     return undefined;
   }
 
   /**
-   * The refused swap brought the newest head back. It is used at once, for under
-   * contention it is soon stale again; the jitter parts racers that met twice.
+   * The refused swap returned the newest head. It is used at once, because
+   * under contention it is soon stale again; the jitter separates processes
+   * that have conflicted before.
    */
-  async #raceLost(): Promise<Result<Answers, PlatformError> | undefined> {
-    this.#races += 1;
-    this.#options.pace.charge(1);
-    if (this.#races >= ATTEMPTS_IN_RACE) {
-      return this.#fail(this.#error("budget", "too many processes write"));
+  async #handleConflict(): Promise<
+    Result<ClaimResults, PlatformError> | undefined
+  > {
+    this.#conflicts += 1;
+    this.#options.rateLimiter.charge(1);
+    if (this.#conflicts >= MAX_CONFLICTS) {
+      return this.#fail(
+        this.#createError(
+          "budget",
+          "too many conflicts with writes of other processes",
+        ),
+      );
     }
     const { pause, random } = this.#options;
-    await pause(PAUSE_IN_RACE * random() * (this.#races - 1));
+    await pause(CONFLICT_PAUSE * random() * (this.#conflicts - 1));
     return undefined;
   }
 
-  #fail(error: PlatformError): Result<Answers, PlatformError> {
+  #fail(error: PlatformError): Result<ClaimResults, PlatformError> {
     this.#cached = undefined;
     return Result.err(
-      this.#doubt === undefined ? error : { ...error, applied: "unknown" },
+      this.#ambiguousError === undefined
+        ? error
+        : { ...error, applied: "unknown" },
     );
   }
 
-  #error(reason: PlatformError["reason"], detail: string): PlatformError {
+  #createError(reason: PlatformError["reason"], detail: string): PlatformError {
     const { key } = this.#options;
     return { step: "commit claims", peer: key, reason, applied: "no", detail };
   }
--- a/packages/store/src/claims/operation.ts
+++ b/packages/store/src/claims/operation.ts
@@ -1,7 +1,7 @@
-/** Changes of a shard that wait to be committed together. @module */
-import type { StoredOutcome } from "./recorded_response.ts";
+/** Operations on a shard, which are committed in batches. @module */
+import type { StoredResponse } from "./recorded_response.ts";
 
-/** Asks for the right to run. */
+/** Claims the key of a request, to be allowed to run it. */
 export type ClaimOperation = {
   type: "claim";
   service: string;
@@ -13,18 +13,18 @@
   now: number;
 };
 
-/** Keeps the outcome for resends. */
+/** Stores the outcome of a request for retries. */
 export type RecordOperation = {
   type: "record";
   identity: string;
   claimant: string;
-  outcome: StoredOutcome | "unknown";
+  outcome: StoredResponse | "unknown";
 };
 
 /**
- * Frees a key whose request certainly did not run. It writes even when the claim
- * is not there: a claim whose write got no answer may still be under way, and
- * only a newer revision keeps it from landing later.
+ * Releases a key whose request certainly did not run. It is written even if the
+ * claim is not stored: a claim whose write got no response may still be in
+ * transit, and only a newer revision prevents it from taking effect later.
  */
 export type ReleaseOperation = {
   type: "release";
@@ -32,5 +32,5 @@
   claimant: string;
 };
 
-/** Any of them. */
+/** Any operation on a shard. */
 export type Operation = ClaimOperation | RecordOperation | ReleaseOperation;
--- a/packages/store/src/claims/parse_value.ts
+++ b/packages/store/src/claims/parse_value.ts
@@ -1,7 +1,7 @@
-/** Reads values that other processes wrote. @module */
+/** Parses values that other processes have stored. @module */
 import * as v from "valibot";
 
-/** `undefined` when the value is not of the schema. */
+/** Returns `undefined` if the value does not match the schema. */
 export function parseValue<Schema extends v.GenericSchema>(
   schema: Schema,
   value: string,
--- a/packages/store/src/claims/recorded_response.ts
+++ b/packages/store/src/claims/recorded_response.ts
@@ -1,32 +1,34 @@
-/** What became of a non-idempotent request, kept for resends. @module */
+/** The response to a non-idempotent request, kept for retries. @module */
 import * as v from "valibot";
 
-/** Longer bodies are not kept; a resend then learns status and headers only. */
+/** Longer bodies are not kept; a retry then gets only status and headers. */
 export const MAXIMUM_RECORDED_BODY_BYTES = 8 * 1024;
-const MAXIMUM_HEADER_BYTES = 2 * 1024;
+/** Headers that are longer, encoded as JSON, are not kept. */
+const MAXIMUM_RECORDED_HEADER_BYTES = 2 * 1024;
 
-/** An answer that was given. `body` is absent when it was too long to keep. */
+/** Response that a caller got; without `body` if that was too long to keep. */
 export type RecordedResponse = {
   status: number;
   headers: Record<string, string>;
   body?: Uint8Array;
 };
 
-/** As stored; the body in base64. */
-export const storedOutcomeSchema = v.object({
+/** A recorded response as stored, with the body in base64. */
+export const storedResponseSchema = v.object({
   status: v.number(),
   headers: v.record(v.string(), v.string()),
   body: v.optional(v.string()),
 });
-/** See {@link storedOutcomeSchema}. */
-export type StoredOutcome = v.InferOutput<typeof storedOutcomeSchema>;
+/** A stored response; fields as in {@link storedResponseSchema}. */
+export type StoredResponse = v.InferOutput<typeof storedResponseSchema>;
 
-/** Cuts the outcome to what is kept. */
-export function storeOutcome(outcome: RecordedResponse): StoredOutcome {
-  const { status, headers, body } = outcome;
+/** Encodes a response for storage, without too long a body or headers. */
+export function toStoredResponse(response: RecordedResponse): StoredResponse {
+  const { status, headers, body } = response;
   const fits = body !== undefined &&
     body.byteLength <= MAXIMUM_RECORDED_BODY_BYTES;
-  const headersFit = JSON.stringify(headers).length <= MAXIMUM_HEADER_BYTES;
+  const headersFit =
+    JSON.stringify(headers).length <= MAXIMUM_RECORDED_HEADER_BYTES;
   return {
     status,
     headers: headersFit ? headers : {},
@@ -34,8 +36,8 @@
   };
 }
 
-/** The outcome as it was recorded. */
-export function loadOutcome(stored: StoredOutcome): RecordedResponse {
+/** Decodes a stored response. */
+export function fromStoredResponse(stored: StoredResponse): RecordedResponse {
   const { status, headers, body } = stored;
   return {
     status,
--- a/packages/store/src/claims/sealed_claims.ts
+++ b/packages/store/src/claims/sealed_claims.ts
@@ -3,16 +3,16 @@
 import type { KeyValueStore } from "../key_value_store.ts";
 import type { PlatformError } from "../platform_error.ts";
 import type { Claim, Claims } from "./claim.ts";
-import type { Head } from "./head.ts";
+import type { ShardHead } from "./shard_head.ts";
 import type { Operation } from "./operation.ts";
-import { decodeIndex, mayHold } from "./sealed_index.ts";
+import { decodeIndex, mayContain } from "./sealed_index.ts";
 import type { SealedIndex } from "./sealed_index.ts";
 import { decodeSegment } from "./segment.ts";
 
-/** Keeps the latest index; values never change under a name. */
+/** Caches the latest index: the value of an index's key never changes. */
 export class SealedClaims {
   readonly #store: KeyValueStore;
-  #name: string | undefined;
+  #indexKey: string | undefined;
   #index: SealedIndex = [];
 
   constructor(store: KeyValueStore) {
@@ -20,40 +20,43 @@
   }
 
   /**
-   * The index of a head. One that is gone has lapsed, and so has every segment
-   * that it names, since they were sealed before it.
+   * Returns the index that a head refers to. If the index is absent, its lease
+   * has expired, and so have all segments in it, because they were sealed
+   * earlier.
    */
-  async index(head: Head): Promise<Result<SealedIndex, PlatformError>> {
-    if (head.index === this.#name) {
+  async readIndex(
+    head: ShardHead,
+  ): Promise<Result<SealedIndex, PlatformError>> {
+    if (head.index === this.#indexKey) {
       return Result.ok(this.#index);
     }
     const index = head.index === undefined
       ? Result.ok<SealedIndex, PlatformError>([])
       : await this.#read(head.index, decodeIndex, []);
     if (index.isOk) {
-      this.#name = head.index;
+      this.#indexKey = head.index;
       this.#index = index.value;
     }
     return index;
   }
 
   /**
-   * Claims of the operations that the head's segments hold. A new key matches no
-   * prefix and costs no read. A segment that can't be read fails the batch, since
-   * its key may have run.
+   * Returns the claims that the head's segments contain for the operations. A
+   * new key matches no prefix in the index and takes no read. A segment that
+   * can't be read fails the batch, because the request of the key may have run.
    */
   async find(
-    head: Head,
+    head: ShardHead,
     operations: readonly Operation[],
   ): Promise<Result<Claims, PlatformError>> {
-    const index = await this.index(head);
+    const index = await this.readIndex(head);
     if (index.isErr) {
       return Result.err(index.error);
     }
     const found = new Map<string, Claim>();
-    for (const identity of soughtIdentities(head, operations)) {
+    for (const identity of identitiesToFind(head, operations)) {
       for (const reference of index.value) {
-        if (!mayHold(reference, identity)) {
+        if (!mayContain(reference, identity)) {
           continue;
         }
         const { segment } = reference;
@@ -73,14 +76,14 @@
   async #read<Value>(
     key: string,
     decode: (value: string) => Value | undefined,
-    lapsed: Value,
+    valueIfExpired: Value,
   ): Promise<Result<Value, PlatformError>> {
     const entry = await this.#store.get(key);
     if (entry.isErr) {
       return Result.err(entry.error);
     }
     if (entry.value === undefined) {
-      return Result.ok(lapsed);
+      return Result.ok(valueIfExpired);
     }
     const value = decode(entry.value.value);
     return value === undefined ? Result.err(malformed(key)) : Result.ok(value);
@@ -89,8 +92,8 @@
 
 const NO_CLAIMS: Claims = new Map();
 
-function soughtIdentities(
-  head: Head,
+function identitiesToFind(
+  head: ShardHead,
   operations: readonly Operation[],
 ): string[] {
   return operations
@@ -106,6 +109,6 @@
     peer: key,
     reason: "malformed",
     applied: "no",
-    detail: "the value holds no claims",
+    detail: "the stored value is not a segment or index of claims",
   };
 }
--- a/packages/store/src/claims/sealed_index.ts
+++ b/packages/store/src/claims/sealed_index.ts
@@ -1,6 +1,7 @@
 /**
- * Says which segment may hold a sealed claim. An index is written once, whenever
- * a segment is sealed, and names all segments that are kept.
+ * Index of a shard's sealed claims: tells which segments may contain a claim. A
+ * new index is written whenever a segment is sealed; it lists all segments that
+ * are kept and never changes.
  * @module
  */
 import * as v from "valibot";
@@ -12,13 +13,13 @@
   sealed: v.array(v.object({ segment: v.string(), prefixes: v.string() })),
 });
 
-/** A segment, and the prefixes of its identities in order, end to end. */
-export type SealedReference = { segment: string; prefixes: Buffer };
+/** A segment and the concatenated, sorted prefixes of its identities. */
+export type SegmentReference = { segment: string; prefixes: Buffer };
 
 /** Oldest segment first. */
-export type SealedIndex = readonly SealedReference[];
+export type SealedIndex = readonly SegmentReference[];
 
-/** The value of an index. */
+/** Returns the value to store. */
 export function encodeIndex(index: SealedIndex): string {
   return JSON.stringify({
     sealed: index.map(({ segment, prefixes }) => ({
@@ -28,7 +29,7 @@
   });
 }
 
-/** `undefined` when the value is of another kind. */
+/** Returns `undefined` if the value is not an index. */
 export function decodeIndex(value: string): SealedIndex | undefined {
   return parseValue(indexSchema, value)?.sealed
     .map(({ segment, prefixes }) => ({
@@ -37,15 +38,21 @@
     }));
 }
 
-/** The reference to a segment with these claims. */
-export function referenceTo(segment: string, claims: Claims): SealedReference {
+/** Returns the reference to a segment with these claims. */
+export function createReference(
+  segment: string,
+  claims: Claims,
+): SegmentReference {
   const prefixes = [...claims.keys()].map(prefixOf);
   prefixes.sort((one, other) => Buffer.compare(one, other));
   return { segment, prefixes: Buffer.concat(prefixes) };
 }
 
-/** Whether the segment may hold the claim; one in 16 million is a false yes. */
-export function mayHold(reference: SealedReference, identity: string): boolean {
+/** Whether the segment may contain the claim; 1 in 16 million false positives. */
+export function mayContain(
+  reference: SegmentReference,
+  identity: string,
+): boolean {
   const { prefixes } = reference;
   const wanted = prefixOf(identity).readUIntBE(0, PREFIX_BYTES);
   let low = 0;
--- a/packages/store/src/claims/sealing.ts
+++ b/packages/store/src/claims/sealing.ts
@@ -1,31 +1,32 @@
 /**
- * Moves a shard's settled claims out of its head into an immutable segment. The
+ * Moves a shard's settled claims from its head to an immutable segment. The
  * head is written with each batch and has to stay small; a segment is written
- * once and goes when its lease lapses, by the service's own clock.
+ * once and is removed when its lease expires, by the key-value service's own
+ * clock.
  * @module
  */
 import { randomUUID } from "node:crypto";
 import type { KeyValueStore } from "../key_value_store.ts";
 import { isSettled } from "./claim.ts";
 import type { Claim } from "./claim.ts";
-import type { Head } from "./head.ts";
-import { encodeIndex, referenceTo } from "./sealed_index.ts";
+import type { ShardHead } from "./shard_head.ts";
+import { createReference, encodeIndex } from "./sealed_index.ts";
 import type { SealedIndex } from "./sealed_index.ts";
 import type { SealedClaims } from "./sealed_claims.ts";
 import { encodeSegment } from "./segment.ts";
 
-/** Size from which a head is relieved. */
-export const SEALING_BYTES = 32 * 1024;
+/** Size of an encoded head from which its settled claims are sealed. */
+export const SEALING_THRESHOLD_BYTES = 32 * 1024;
 
-/** Calls of one sealing: a lease, two writes and a look at the oldest segment. */
+/** Calls of one sealing: a lease, two writes, a read of the oldest segment. */
 export const SEALING_CALLS = 4;
 
-/** What sealing needs besides the head. */
+/** Options of {@link seal}. */
 export type SealingOptions = {
   store: KeyValueStore;
   sealed: SealedClaims;
-  head: Head;
-  /** Key of the head; segments and indexes are named below it. */
+  head: ShardHead;
+  /** Key of the head; the keys of segments and indexes begin with it. */
   key: string;
   /** Milliseconds that a sealed claim is kept. */
   retention: number;
@@ -34,15 +35,18 @@
 };
 
 /**
- * Writes segment and index and resolves to the relieved head, which the caller
- * has yet to commit; `undefined` when nothing can be sealed now. What no committed
- * head names lapses. Each has a name of its own, so that two processes that seal
- * at once can't overwrite each other's.
+ * Writes a segment and an index, and resolves to the smaller head, which the
+ * caller still has to commit; to `undefined` if nothing can be sealed now. A
+ * segment or index that no committed head refers to just expires. Their keys
+ * are unique, so that two processes that seal at the same time can't overwrite
+ * each other's.
  */
-export async function seal(options: SealingOptions): Promise<Head | undefined> {
+export async function seal(
+  options: SealingOptions,
+): Promise<ShardHead | undefined> {
   const { store, head, key, retention, now } = options;
-  const { settled, open } = split(head, now);
-  const index = await options.sealed.index(head);
+  const { settled, open } = splitSettled(head, now);
+  const index = await options.sealed.readIndex(head);
   if (settled.size === 0 || index.isErr) {
     return undefined;
   }
@@ -50,18 +54,18 @@
   if (lease.isErr) {
     return undefined;
   }
-  const write = (name: string, value: string) =>
-    writeOnce({ store, key: name, value, lease: lease.value });
-  const segment = `${key}/segment/${randomUUID()}`;
-  const indexName = `${key}/index/${randomUUID()}`;
-  const kept = await withoutLapsed(store, index.value);
-  const next = [...kept, referenceTo(segment, settled)];
-  const written = await write(segment, encodeSegment(settled)) &&
-    await write(indexName, encodeIndex(next));
-  return written ? { claims: open, index: indexName } : undefined;
+  const write = (newKey: string, value: string) =>
+    createKey({ store, key: newKey, value, lease: lease.value });
+  const segmentKey = `${key}/segment/${randomUUID()}`;
+  const indexKey = `${key}/index/${randomUUID()}`;
+  const kept = await withoutExpired(store, index.value);
+  const next = [...kept, createReference(segmentKey, settled)];
+  const written = await write(segmentKey, encodeSegment(settled)) &&
+    await write(indexKey, encodeIndex(next));
+  return written ? { claims: open, index: indexKey } : undefined;
 }
 
-async function writeOnce(
+async function createKey(
   options: { store: KeyValueStore; key: string; value: string; lease: string },
 ): Promise<boolean> {
   const { store, key, value, lease } = options;
@@ -70,8 +74,8 @@
   return outcome.isOk && outcome.value.swapped;
 }
 
-function split(
-  head: Head,
+function splitSettled(
+  head: ShardHead,
   now: number,
 ): { settled: Map<string, Claim>; open: Map<string, Claim> } {
   const settled = new Map<string, Claim>();
@@ -86,8 +90,8 @@
   return { settled, open };
 }
 
-/** Segments lapse in the order in which they were sealed. */
-async function withoutLapsed(
+/** Segments expire in the order in which they were sealed. */
+async function withoutExpired(
   store: KeyValueStore,
   index: SealedIndex,
 ): Promise<SealedIndex> {
--- a/packages/store/src/claims/segment.ts
+++ b/packages/store/src/claims/segment.ts
@@ -1,4 +1,4 @@
-/** Settled claims, written once. @module */
+/** Segments: settled claims of a shard in immutable values. @module */
 import * as v from "valibot";
 import { claimsSchema } from "./claim.ts";
 import type { Claims } from "./claim.ts";
@@ -6,12 +6,12 @@
 
 const segmentSchema = v.object({ claims: claimsSchema });
 
-/** The value of a segment. */
+/** Returns the value to store. */
 export function encodeSegment(claims: Claims): string {
   return JSON.stringify({ claims: Object.fromEntries(claims) });
 }
 
-/** `undefined` when the value is of another kind. */
+/** Returns `undefined` if the value is not a segment. */
 export function decodeSegment(value: string): Claims | undefined {
   const parsed = parseValue(segmentSchema, value);
   return parsed && new Map(Object.entries(parsed.claims));
--- a/packages/store/src/faulty_key_value_store.ts
+++ b/packages/store/src/faulty_key_value_store.ts
@@ -1,4 +1,4 @@
-/** A key-value service with faults that a test plans, write by write. @module */
+/** A key-value service with write faults that a test injects. @module */
 import { Result } from "true-myth/result";
 import { KeyValueStore } from "./key_value_store.ts";
 import type {
@@ -11,9 +11,9 @@
 import type { PlatformError } from "./platform_error.ts";
 
 /**
- * What befalls a write. `lost_answer`: it takes effect, the caller does not
- * learn it. `lost_request`: it never arrives, the caller does not learn that.
- * `late_request`: as lost, but it arrives at the next `deliver`.
+ * Fault of a write. `lost_answer`: it takes effect, but its response is lost.
+ * `lost_request`: it never arrives, and gets no response. `late_request`: gets
+ * no response either, but arrives at the next `deliverLateWrites`.
  */
 export type WriteFault =
   | "none"
@@ -21,16 +21,16 @@
   | "lost_request"
   | "late_request";
 
-/** Stands before another store. */
+/** Wraps another store. */
 export class FaultyKeyValueStore extends KeyValueStore {
-  /** Every call fails without effect, and says so. */
+  /** While true, every call fails without effect, with `applied: "no"`. */
   outage = false;
-  /** Faults of the coming writes, the next one first. */
+  /** Faults of the next writes, in order; writes after them have none. */
   readonly writeFaults: WriteFault[] = [];
   /** Writes that reached the store. */
   writesReceived = 0;
   readonly #inner: KeyValueStore;
-  readonly #late: SwapOptions[] = [];
+  readonly #lateWrites: SwapOptions[] = [];
 
   constructor(inner: KeyValueStore) {
     super();
@@ -73,9 +73,9 @@
     return this.#unlessOutage(step, () => this.#inner.revokeLease(lease));
   }
 
-  /** Lets the late writes arrive. */
+  /** Applies the writes with the fault `late_request`. */
   async deliverLateWrites(): Promise<void> {
-    for (const options of this.#late.splice(0)) {
+    for (const options of this.#lateWrites.splice(0)) {
       this.writesReceived += 1;
       await this.#inner.compareAndSwap(options);
     }
@@ -86,14 +86,14 @@
   ): Promise<Result<SwapOutcome, PlatformError>> {
     const fault = this.writeFaults.shift() ?? "none";
     if (fault === "late_request") {
-      this.#late.push(options);
+      this.#lateWrites.push(options);
     }
     if (fault === "late_request" || fault === "lost_request") {
-      return Result.err(lost());
+      return Result.err(lostWriteError());
     }
     this.writesReceived += 1;
     const outcome = await this.#inner.compareAndSwap(options);
-    return fault === "lost_answer" ? Result.err(lost()) : outcome;
+    return fault === "lost_answer" ? Result.err(lostWriteError()) : outcome;
   }
 
   #unlessOutage<Value>(
@@ -113,12 +113,12 @@
   }
 }
 
-function lost(): PlatformError {
+function lostWriteError(): PlatformError {
   return {
     step: "compare-and-swap",
     peer: "faulty",
     reason: "timeout",
     applied: "unknown",
-    detail: "no answer",
+    detail: "no response",
   };
 }
--- a/packages/store/src/http_client.ts
+++ b/packages/store/src/http_client.ts
@@ -1,24 +1,25 @@
 /**
- * One HTTP call to a service of the platform, with timeouts, the call budget and
- * an honest word on whether a failed call took effect. It never retries: the
- * callers know whether a second try is safe.
+ * HTTP client for a service of the platform, with timeouts and a call budget.
+ * The error of a failed call says whether it may have taken effect. The client
+ * never retries: only the code that uses it knows whether a retry is safe.
  * @module
  */
 import { Result } from "true-myth/result";
 import { Agent, request } from "undici";
-import { AnswerTimer } from "./answer_timer.ts";
+import { ResponseTimer } from "./response_timer.ts";
 import type { CallBudget } from "./call_budget.ts";
 import type { PlatformError, PlatformErrorReason } from "./platform_error.ts";
 
-const CONNECTIONS = 8;
-const MAXIMUM_ANSWER_BYTES = 4 * 1024 * 1024;
+const MAX_CONNECTIONS = 8;
+const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
+/** Milliseconds. */
 const DEFAULT_TIMEOUT = 3000;
 
-/** Where a service of the platform is and how it may be called. */
+/** Address of a service of the platform, and limits for calls of it. */
 export type HttpServiceOptions = {
-  /** Base address, such as `http://127.0.0.1:7100`. */
+  /** Base URL, such as `http://127.0.0.1:7100`. */
   url: string;
-  /** Milliseconds until a call fails whose answer does not begin, or stops. */
+  /** Milliseconds without (more of) the response after which a call fails. */
   timeout?: number;
   /** Absent: unlimited, as for the operator's command line. */
   budget?: CallBudget;
@@ -26,28 +27,29 @@
   clock?: () => number;
 };
 
-/** One call. */
+/** A call; `step` names it in errors. */
 export type HttpCall = {
   step: string;
   method: "GET" | "PUT" | "POST" | "DELETE";
   path: string;
   headers?: Record<string, string>;
   body?: string;
-  /** Milliseconds the service itself may hold the answer back. */
+  /** Milliseconds for which the service itself may delay the response. */
   wait?: number;
-  /** Gives the call up. */
+  /** Aborts the call. */
   signal?: AbortSignal;
 };
 
-/** A whole answer. */
+/** A complete response. */
 export type HttpResponse = { status: number; etag: string; text: string };
 
-type Failure = {
+/** What matters of an error that undici or Node.js throws. */
+type TransportFailure = {
   code?: string;
   name?: string;
   syscall?: string;
   message?: string;
-  errors?: Failure[];
+  errors?: TransportFailure[];
 };
 
 /** Calls one service of the platform. */
@@ -64,20 +66,20 @@
     this.#budget = options.budget;
     this.#clock = options.clock ?? (() => performance.now());
     this.#agent = new Agent({
-      connections: CONNECTIONS,
+      connections: MAX_CONNECTIONS,
       pipelining: 1,
-      maxResponseSize: MAXIMUM_ANSWER_BYTES,
+      maxResponseSize: MAX_RESPONSE_BYTES,
       connect: { timeout: this.#timeout },
     });
   }
 
   async call(call: HttpCall): Promise<Result<HttpResponse, PlatformError>> {
-    if (this.#budget !== undefined && !this.#budget.take(this.#clock())) {
+    if (this.#budget !== undefined && !this.#budget.tryTake(this.#clock())) {
       return Result.err(
         this.createError(
           call,
           "budget",
-          "this process has used up its calls",
+          "the call budget of this process is used up",
           "no",
         ),
       );
@@ -85,11 +87,13 @@
     try {
       return Result.ok(await this.#send(call));
     } catch (failure) {
-      return Result.err(this.#failed(call, failure as Failure));
+      return Result.err(
+        this.#transportError(call, failure as TransportFailure),
+      );
     }
   }
 
-  /** An error of this peer; `applied` is `"no"` for calls that only read. */
+  /** Returns an error of this service. A failed GET is never `applied`. */
   createError(
     call: Pick<HttpCall, "step" | "method">,
     reason: PlatformErrorReason,
@@ -106,12 +110,15 @@
     };
   }
 
-  /** The error of an answer with an unexpected status. */
-  unexpectedStatusError(call: HttpCall, answer: HttpResponse): PlatformError {
-    const detail = `status ${answer.status} ${answer.text.slice(0, 200)}`
+  /**
+   * Returns the error for a response with an unexpected status. A call that got
+   * a 4xx or 503 response was not applied.
+   */
+  unexpectedStatusError(call: HttpCall, response: HttpResponse): PlatformError {
+    const detail = `status ${response.status} ${response.text.slice(0, 200)}`
       .trim();
-    const refused = answer.status === 503 ||
-      (answer.status >= 400 && answer.status < 500);
+    const refused = response.status === 503 ||
+      (response.status >= 400 && response.status < 500);
     return this.createError(call, "status", detail, refused ? "no" : "unknown");
   }
 
@@ -120,52 +127,52 @@
   }
 
   async #send(call: HttpCall): Promise<HttpResponse> {
-    const timer = new AnswerTimer({
-      first: this.#timeout + (call.wait ?? 0),
-      between: this.#timeout,
+    const timer = new ResponseTimer({
+      firstPartTimeout: this.#timeout + (call.wait ?? 0),
+      progressTimeout: this.#timeout,
       ...(call.signal && { signal: call.signal }),
     });
     try {
       return await this.#exchange(call, timer);
     } finally {
-      timer.end();
+      timer.stop();
     }
   }
 
-  async #exchange(call: HttpCall, timer: AnswerTimer): Promise<HttpResponse> {
-    const answer = await request(this.#url + call.path, {
+  async #exchange(call: HttpCall, timer: ResponseTimer): Promise<HttpResponse> {
+    const response = await request(this.#url + call.path, {
       dispatcher: this.#agent,
       method: call.method,
       headers: call.headers ?? {},
       body: call.body ?? null,
       signal: timer.signal,
     });
-    const parts: Buffer[] = [];
-    timer.heard();
-    for await (const part of answer.body) {
-      timer.heard();
-      parts.push(part);
+    const chunks: Buffer[] = [];
+    timer.recordProgress();
+    for await (const chunk of response.body) {
+      timer.recordProgress();
+      chunks.push(chunk);
     }
-    const etag = answer.headers.etag;
+    const etag = response.headers.etag;
     return {
-      status: answer.statusCode,
+      status: response.statusCode,
       etag: typeof etag === "string" ? etag : "",
-      text: Buffer.concat(parts).toString("utf8"),
+      text: Buffer.concat(chunks).toString("utf8"),
     };
   }
 
   /**
-   * A write whose connection could not be opened was never sent. Any later
-   * failure (reset, timeout, cut answer) may hide a write that took effect.
+   * If no connection could be opened, the call was never sent. After any later
+   * failure (reset, timeout, truncated response) a write may have taken effect.
    */
-  #failed(call: HttpCall, failure: Failure): PlatformError {
+  #transportError(call: HttpCall, failure: TransportFailure): PlatformError {
     const applied = neverConnected(failure) ? "no" : "unknown";
     const detail = failure.message || failure.code || "no detail";
     return this.createError(call, reasonOf(failure), detail, applied);
   }
 }
 
-function neverConnected(failure: Failure): boolean {
+function neverConnected(failure: TransportFailure): boolean {
   if (failure.errors !== undefined && failure.errors.length > 0) {
     return failure.errors.every(neverConnected);
   }
@@ -173,7 +180,7 @@
     failure.syscall === "connect" || failure.syscall === "getaddrinfo";
 }
 
-function reasonOf(failure: Failure): PlatformErrorReason {
+function reasonOf(failure: TransportFailure): PlatformErrorReason {
   if (failure.name === "TimeoutError") {
     return "timeout";
   }
--- a/packages/store/src/http_instance_list.ts
+++ b/packages/store/src/http_instance_list.ts
@@ -1,4 +1,4 @@
-/** The instance list over HTTP; see docs/platform-protocol.md. @module */
+/** HTTP client of the instance list; see docs/platform-protocol.md. @module */
 import { Result } from "true-myth/result";
 import * as v from "valibot";
 import { HttpClient } from "./http_client.ts";
@@ -9,13 +9,13 @@
 
 const listSchema = v.object({ instances: v.array(instanceSchema) });
 
-/** Calls an instance list; construct one per process and close it at the end. */
+/** Create one per process, and close it at the end. */
 export class HttpInstanceList extends InstanceList {
-  #caller: HttpClient;
+  #client: HttpClient;
 
   constructor(options: HttpServiceOptions) {
     super();
-    this.#caller = new HttpClient(options);
+    this.#client = new HttpClient(options);
   }
 
   override async list(): Promise<Result<Instance[], PlatformError>> {
@@ -24,18 +24,18 @@
       method: "GET",
       path: "/instances",
     };
-    const answer = await this.#caller.call(call);
-    return answer.andThen((answer): Result<Instance[], PlatformError> => {
-      if (answer.status !== 200) {
-        return Result.err(this.#caller.unexpectedStatusError(call, answer));
+    const response = await this.#client.call(call);
+    return response.andThen((response): Result<Instance[], PlatformError> => {
+      if (response.status !== 200) {
+        return Result.err(this.#client.unexpectedStatusError(call, response));
       }
-      const instances = parseList(answer.text);
+      const instances = parseList(response.text);
       return instances === undefined
         ? Result.err(
-          this.#caller.createError(
+          this.#client.createError(
             call,
             "malformed",
-            "no list of instances",
+            "the response is not a list of instances",
             "no",
           ),
         )
@@ -61,17 +61,17 @@
     });
   }
 
-  /** Drops the connections; calls under way fail as unreachable. */
+  /** Closes the connections; calls in progress fail as unreachable. */
   close(): Promise<void> {
-    return this.#caller.close();
+    return this.#client.close();
   }
 
   async #write(call: HttpCall): Promise<Result<void, PlatformError>> {
-    const answer = await this.#caller.call(call);
-    return answer.andThen((answer): Result<void, PlatformError> =>
-      answer.status === 204
+    const response = await this.#client.call(call);
+    return response.andThen((response): Result<void, PlatformError> =>
+      response.status === 204
         ? Result.ok(undefined)
-        : Result.err(this.#caller.unexpectedStatusError(call, answer))
+        : Result.err(this.#client.unexpectedStatusError(call, response))
     );
   }
 }
--- a/packages/store/src/http_key_value_store.ts
+++ b/packages/store/src/http_key_value_store.ts
@@ -1,4 +1,7 @@
-/** The key-value service over HTTP; see docs/platform-protocol.md. @module */
+/**
+ * HTTP client of the key-value service; see docs/platform-protocol.md.
+ * @module
+ */
 import { Result } from "true-myth/result";
 import * as v from "valibot";
 import { HttpClient } from "./http_client.ts";
@@ -19,21 +22,21 @@
 
 const leaseSchema = v.object({ lease: v.string() });
 
-/** Calls a key-value service; construct one per process and close it at the end. */
+/** Create one per process, and close it at the end. */
 export class HttpKeyValueStore extends KeyValueStore {
-  #caller: HttpClient;
+  #client: HttpClient;
 
   constructor(options: HttpServiceOptions) {
     super();
-    this.#caller = new HttpClient(options);
+    this.#client = new HttpClient(options);
   }
 
   override async get(
     key: string,
   ): Promise<Result<KeyValueEntry | undefined, PlatformError>> {
     const call: HttpCall = { step: "get", method: "GET", path: keyPath(key) };
-    const answer = await this.#caller.call(call);
-    return answer.andThen((answer) => this.#found(call, answer));
+    const response = await this.#client.call(call);
+    return response.andThen((response) => this.#entryIfFound(call, response));
   }
 
   override async watch(
@@ -46,11 +49,14 @@
       path: keyPath(options.key) + query,
       wait: options.wait,
     };
-    const answer = await this.#caller.call(call);
-    return answer.andThen((answer): Result<WatchOutcome, PlatformError> =>
-      answer.status === 304
+    const response = await this.#client.call(call);
+    return response.andThen((response): Result<WatchOutcome, PlatformError> =>
+      response.status === 304
         ? Result.ok({ changed: false })
-        : this.#found(call, answer).map((entry) => ({ changed: true, entry }))
+        : this.#entryIfFound(call, response).map((entry) => ({
+          changed: true,
+          entry,
+        }))
     );
   }
 
@@ -61,13 +67,13 @@
     const size = Buffer.byteLength(options.value);
     if (size > MAXIMUM_VALUE_BYTES) {
       const detail =
-        `${size} bytes, at most ${MAXIMUM_VALUE_BYTES} fit a value`;
+        `value of ${size} bytes, at most ${MAXIMUM_VALUE_BYTES} are allowed`;
       return Result.err(
-        this.#caller.createError(call, "too_large", detail, "no"),
+        this.#client.createError(call, "too_large", detail, "no"),
       );
     }
-    const answer = await this.#caller.call(call);
-    return answer.andThen((answer) => this.#swapOutcome(call, answer));
+    const response = await this.#client.call(call);
+    return response.andThen((response) => this.#swapOutcome(call, response));
   }
 
   override async grantLease(
@@ -80,8 +86,8 @@
       headers: { "content-type": "application/json" },
       body: JSON.stringify({ duration }),
     };
-    const answer = await this.#caller.call(call);
-    return answer.andThen((answer) => this.#leaseOf(call, answer));
+    const response = await this.#client.call(call);
+    return response.andThen((response) => this.#lease(call, response));
   }
 
   override async renewLease(
@@ -92,14 +98,14 @@
       method: "PUT",
       path: leasePath(lease),
     };
-    const answer = await this.#caller.call(call);
-    return answer.andThen((answer): Result<boolean, PlatformError> => {
-      if (answer.status === 404) {
+    const response = await this.#client.call(call);
+    return response.andThen((response): Result<boolean, PlatformError> => {
+      if (response.status === 404) {
         return Result.ok(false);
       }
-      return answer.status === 200
+      return response.status === 200
         ? Result.ok(true)
-        : Result.err(this.#caller.unexpectedStatusError(call, answer));
+        : Result.err(this.#client.unexpectedStatusError(call, response));
     });
   }
 
@@ -111,43 +117,43 @@
       method: "DELETE",
       path: leasePath(lease),
     };
-    const answer = await this.#caller.call(call);
-    return answer.andThen((answer): Result<void, PlatformError> =>
-      answer.status === 204 || answer.status === 404
+    const response = await this.#client.call(call);
+    return response.andThen((response): Result<void, PlatformError> =>
+      response.status === 204 || response.status === 404
         ? Result.ok(undefined)
-        : Result.err(this.#caller.unexpectedStatusError(call, answer))
+        : Result.err(this.#client.unexpectedStatusError(call, response))
     );
   }
 
-  /** Drops the connections; calls under way fail as unreachable. */
+  /** Closes the connections; calls in progress fail as unreachable. */
   close(): Promise<void> {
-    return this.#caller.close();
+    return this.#client.close();
   }
 
-  #found(
+  #entryIfFound(
     call: HttpCall,
-    answer: HttpResponse,
+    response: HttpResponse,
   ): Result<KeyValueEntry | undefined, PlatformError> {
-    if (answer.status === 404) {
+    if (response.status === 404) {
       return Result.ok(undefined);
     }
-    return answer.status === 200
-      ? this.#entry(call, answer)
-      : Result.err(this.#caller.unexpectedStatusError(call, answer));
+    return response.status === 200
+      ? this.#entry(call, response)
+      : Result.err(this.#client.unexpectedStatusError(call, response));
   }
 
   #swapOutcome(
     call: HttpCall,
-    answer: HttpResponse,
+    response: HttpResponse,
   ): Result<SwapOutcome, PlatformError> {
-    if (answer.status === 200) {
-      return this.#revision(call, answer)
+    if (response.status === 200) {
+      return this.#revision(call, response)
         .map((revision) => ({ swapped: true, revision }));
     }
-    if (answer.status !== 412) {
-      return Result.err(this.#caller.unexpectedStatusError(call, answer));
+    if (response.status !== 412) {
+      return Result.err(this.#client.unexpectedStatusError(call, response));
     }
-    return this.#entry(call, answer).map((entry) => ({
+    return this.#entry(call, response).map((entry) => ({
       swapped: false,
       current: entry.revision === 0 ? undefined : entry,
     }));
@@ -155,39 +161,39 @@
 
   #entry(
     call: HttpCall,
-    answer: HttpResponse,
+    response: HttpResponse,
   ): Result<KeyValueEntry, PlatformError> {
-    return this.#revision(call, answer)
-      .map((revision) => ({ value: answer.text, revision }));
+    return this.#revision(call, response)
+      .map((revision) => ({ value: response.text, revision }));
   }
 
   #revision(
     call: HttpCall,
-    answer: HttpResponse,
+    response: HttpResponse,
   ): Result<number, PlatformError> {
-    const digits = /^"(\d{1,15})"$/.exec(answer.etag)?.[1];
+    const digits = /^"(\d{1,15})"$/.exec(response.etag)?.[1];
     if (digits === undefined) {
-      const detail = `the answer's ETag "${answer.etag}" is no revision`;
+      const detail = `the response's ETag "${response.etag}" is not a revision`;
       return Result.err(
-        this.#caller.createError(call, "malformed", detail, "unknown"),
+        this.#client.createError(call, "malformed", detail, "unknown"),
       );
     }
     return Result.ok(Number(digits));
   }
 
-  #leaseOf(
+  #lease(
     call: HttpCall,
-    answer: HttpResponse,
+    response: HttpResponse,
   ): Result<string, PlatformError> {
-    if (answer.status !== 201) {
-      return Result.err(this.#caller.unexpectedStatusError(call, answer));
+    if (response.status !== 201) {
+      return Result.err(this.#client.unexpectedStatusError(call, response));
     }
     try {
-      return Result.ok(v.parse(leaseSchema, JSON.parse(answer.text)).lease);
+      return Result.ok(v.parse(leaseSchema, JSON.parse(response.text)).lease);
     } catch {
-      const detail = "the answer names no lease";
+      const detail = "the response contains no lease";
       return Result.err(
-        this.#caller.createError(call, "malformed", detail, "unknown"),
+        this.#client.createError(call, "malformed", detail, "unknown"),
       );
     }
   }
--- a/packages/store/src/key_value_store.ts
+++ b/packages/store/src/key_value_store.ts
@@ -1,67 +1,78 @@
 /**
- * The platform's small key-value service as the project uses it. Every call
- * counts towards the service's budget, a waiting watch as one call.
+ * The platform's small key-value service, as far as this project uses it. Every
+ * call counts towards the call budget; a watch counts as one call, however long
+ * it waits.
  * @module
  */
 import type { Result } from "true-myth/result";
 import type { PlatformError } from "./platform_error.ts";
 
-/** Longest value that the service takes. */
+/** Largest value that the service accepts. */
 export const MAXIMUM_VALUE_BYTES = 1024 * 1024;
 
-/** A stored value. `revision` grows with every write of the key; 0 is absent. */
+/**
+ * A stored value. `revision` grows with every write of the key; revision 0
+ * stands for an absent key.
+ */
 export type KeyValueEntry = { value: string; revision: number };
 
-/** A write that happens only if the key is unchanged. */
+/** A write that takes effect only if the key has not changed. */
 export type SwapOptions = {
   key: string;
-  /** Revision the key must have for the write to happen; 0: absent. */
+  /** Revision that the key must have; 0: the key must be absent. */
   expected: number;
   value: string;
-  /** Lease that the key is bound to; the key goes when the lease lapses. */
+  /** Lease that the key is bound to; the key is removed when it expires. */
   lease?: string;
 };
 
-/** What became of a compare-and-swap. */
+/** Result of a compare-and-swap; if refused, with the entry stored now. */
 export type SwapOutcome =
   | { swapped: true; revision: number }
   | { swapped: false; current: KeyValueEntry | undefined };
 
-/** Waits for a key to change; `wait` in milliseconds. */
+/**
+ * Key to watch, the revision that the watcher has already, and the maximum wait
+ * in milliseconds.
+ */
 export type WatchOptions = { key: string; after: number; wait: number };
 
-/** What a watch saw: the key as it is now, or that nothing happened. */
+/** Result of a watch: the key's current entry, or no change within the wait. */
 export type WatchOutcome =
   | { changed: true; entry: KeyValueEntry | undefined }
   | { changed: false };
 
 /**
- * A failed write is ambiguous unless the error says `applied: "no"`: the
- * service may have taken it and lost the answer. Callers read back.
+ * A failed write is ambiguous unless its error has `applied: "no"`: the service
+ * may have applied it although the response was lost. Callers have to read the
+ * key to find out.
  */
 export abstract class KeyValueStore {
   abstract get(
     key: string,
   ): Promise<Result<KeyValueEntry | undefined, PlatformError>>;
 
-  /** Writes `value` only if the key's revision is still `expected` (0: absent). */
+  /**
+   * Writes `value` only if the key's revision is still `expected` (0: absent).
+   */
   abstract compareAndSwap(
     options: SwapOptions,
   ): Promise<Result<SwapOutcome, PlatformError>>;
 
-  /** Grants a lease of `duration` milliseconds; resolves to its identity. */
+  /** Grants a lease of `duration` milliseconds; resolves to its identifier. */
   abstract grantLease(duration: number): Promise<Result<string, PlatformError>>;
 
-  /** Extends a lease; `false` when it has already lapsed. */
+  /** Extends a lease; resolves to `false` if it has already expired. */
   abstract renewLease(lease: string): Promise<Result<boolean, PlatformError>>;
 
   abstract revokeLease(lease: string): Promise<Result<void, PlatformError>>;
 
   /**
-   * Resolves as soon as the key's revision is not `after`, or unchanged after
-   * `wait` milliseconds; `wait: 0` is a read that costs no transfer of a value
-   * that the caller has already. "Not `after`", rather than "above it": when the
-   * service is restored to an older state, the watcher learns it at once.
+   * Resolves as soon as the key's revision differs from `after`, or after
+   * `wait` milliseconds without a change. With `wait: 0` it is a read that does
+   * not transfer a value that the caller already has. A lower revision counts
+   * as a change too, so that a watcher notices at once when the service is
+   * restored to an older state.
    */
   abstract watch(
     options: WatchOptions,
--- a/packages/store/src/memory_instance_list.ts
+++ b/packages/store/src/memory_instance_list.ts
@@ -1,10 +1,10 @@
-/** An instance list within one process, without lag, for tests. @module */
+/** An in-memory instance list without lag, for tests. @module */
 import { Result } from "true-myth/result";
 import { InstanceList } from "./instance_list.ts";
 import type { Instance } from "./instance_list.ts";
 import type { PlatformError } from "./platform_error.ts";
 
-/** Lists what was registered, at once. */
+/** Lists an instance as soon as it is registered. */
 export class MemoryInstanceList extends InstanceList {
   #instances = new Map<string, Instance>();
 
--- a/packages/store/src/memory_key_value_store.ts
+++ b/packages/store/src/memory_key_value_store.ts
@@ -1,5 +1,5 @@
 /**
- * A key-value service within one process, for tests and as the state of the
+ * An in-memory key-value service for tests, which also holds the state of the
  * emulated service.
  * @module
  */
@@ -15,16 +15,17 @@
 import type { PlatformError } from "./platform_error.ts";
 
 type StoredEntry = KeyValueEntry & { lease?: string };
-type Lease = { duration: number; lapsesAt: number };
+type Lease = { duration: number; expiresAt: number };
 
-/** A copy of the whole state, to restore an older one in a test. */
+/** A copy of the whole state, which a test can restore later. */
 export type KeyValueBackup = {
   entries: [string, StoredEntry][];
 };
 
-const MAXIMUM_WATCH_SLICE = 50;
+/** Maximum milliseconds between two checks of a waiting watch. */
+const WATCH_POLL_INTERVAL = 50;
 
-/** Holds everything in memory; lapses leases lazily by the given clock. */
+/** Expires leases by the given clock, whenever the store is accessed. */
 export class MemoryKeyValueStore extends KeyValueStore {
   #clock: () => number;
   #entries = new Map<string, StoredEntry>();
@@ -40,17 +41,17 @@
   override get(
     key: string,
   ): Promise<Result<KeyValueEntry | undefined, PlatformError>> {
-    return Promise.resolve(Result.ok(this.#current(key)));
+    return Promise.resolve(Result.ok(this.#read(key)));
   }
 
   override compareAndSwap(
     options: SwapOptions,
   ): Promise<Result<SwapOutcome, PlatformError>> {
-    const error = this.#refusal(options);
+    const error = this.#findError(options);
     if (error !== undefined) {
       return Promise.resolve(Result.err(error));
     }
-    const current = this.#current(options.key);
+    const current = this.#read(options.key);
     if ((current?.revision ?? 0) !== options.expected) {
       return Promise.resolve(Result.ok({ swapped: false, current }));
     }
@@ -61,7 +62,7 @@
       revision,
       ...(options.lease === undefined ? {} : { lease: options.lease }),
     });
-    this.#wake();
+    this.#wakeWatches();
     return Promise.resolve(Result.ok({ swapped: true, revision }));
   }
 
@@ -70,37 +71,37 @@
   ): Promise<Result<string, PlatformError>> {
     this.#counter += 1;
     const lease = `lease-${this.#counter}`;
-    const lapsesAt = this.#clock() + duration;
-    this.#leases.set(lease, { duration, lapsesAt });
+    const expiresAt = this.#clock() + duration;
+    this.#leases.set(lease, { duration, expiresAt });
     return Promise.resolve(Result.ok(lease));
   }
 
   override renewLease(lease: string): Promise<Result<boolean, PlatformError>> {
-    this.#lapse();
-    const held = this.#leases.get(lease);
-    if (held === undefined) {
+    this.#expireLeases();
+    const existing = this.#leases.get(lease);
+    if (existing === undefined) {
       return Promise.resolve(Result.ok(false));
     }
-    held.lapsesAt = this.#clock() + held.duration;
+    existing.expiresAt = this.#clock() + existing.duration;
     return Promise.resolve(Result.ok(true));
   }
 
   override revokeLease(lease: string): Promise<Result<void, PlatformError>> {
     this.#leases.delete(lease);
-    this.#dropEntriesOf(lease);
+    this.#removeEntriesOf(lease);
     return Promise.resolve(Result.ok(undefined));
   }
 
   override async watch(
     options: WatchOptions,
   ): Promise<Result<WatchOutcome, PlatformError>> {
-    const until = performance.now() + options.wait;
-    let entry = this.#current(options.key);
+    const deadline = performance.now() + options.wait;
+    let entry = this.#read(options.key);
     while (
-      (entry?.revision ?? 0) === options.after && performance.now() < until
+      (entry?.revision ?? 0) === options.after && performance.now() < deadline
     ) {
-      await this.#change(until - performance.now());
-      entry = this.#current(options.key);
+      await this.#waitForChange(deadline - performance.now());
+      entry = this.#read(options.key);
     }
     const changed = (entry?.revision ?? 0) !== options.after;
     return Result.ok(changed ? { changed, entry } : { changed });
@@ -110,60 +111,60 @@
     return { entries: structuredClone([...this.#entries]) };
   }
 
-  /** Puts an older state back, as a service does that lost its newest writes. */
+  /** Restores an older state, as a service does that lost its newest writes. */
   restore(backup: KeyValueBackup): void {
     this.#entries = new Map(structuredClone(backup.entries));
-    this.#wake();
+    this.#wakeWatches();
   }
 
-  #current(key: string): KeyValueEntry | undefined {
-    this.#lapse();
+  #read(key: string): KeyValueEntry | undefined {
+    this.#expireLeases();
     const entry = this.#entries.get(key);
     return entry && { value: entry.value, revision: entry.revision };
   }
 
-  #refusal(options: SwapOptions): PlatformError | undefined {
-    this.#lapse();
+  #findError(options: SwapOptions): PlatformError | undefined {
+    this.#expireLeases();
     const size = Buffer.byteLength(options.value);
     if (size > MAXIMUM_VALUE_BYTES) {
-      return refused("too_large", `${size} bytes do not fit a value`);
+      return swapError("too_large", `${size} bytes do not fit a value`);
     }
     if (options.lease !== undefined && !this.#leases.has(options.lease)) {
-      return refused("status", "the lease has lapsed");
+      return swapError("status", "the lease has lapsed");
     }
     return undefined;
   }
 
-  #lapse(): void {
+  #expireLeases(): void {
     const now = this.#clock();
-    for (const [lease, { lapsesAt }] of this.#leases) {
-      if (lapsesAt <= now) {
+    for (const [lease, { expiresAt }] of this.#leases) {
+      if (expiresAt <= now) {
         this.#leases.delete(lease);
-        this.#dropEntriesOf(lease);
+        this.#removeEntriesOf(lease);
       }
     }
   }
 
-  #dropEntriesOf(lease: string): void {
+  #removeEntriesOf(lease: string): void {
     for (const [key, entry] of this.#entries) {
       if (entry.lease === lease) {
         this.#entries.delete(key);
       }
     }
-    this.#wake();
+    this.#wakeWatches();
   }
 
-  #wake(): void {
+  #wakeWatches(): void {
     const wakeups = [...this.#wakeups];
     this.#wakeups.clear();
     wakeups.forEach((wakeup) => wakeup());
   }
 
-  /** Resolves at a change, or after a slice so that a lapsed lease is noticed. */
-  #change(wait: number): Promise<void> {
+  /** Resolves at a change, or after a poll interval, to notice expired leases. */
+  #waitForChange(wait: number): Promise<void> {
     return new Promise((resolve) => {
-      const slice = Math.min(wait, MAXIMUM_WATCH_SLICE);
-      const timer = setTimeout(() => wakeup(), slice);
+      const delay = Math.min(wait, WATCH_POLL_INTERVAL);
+      const timer = setTimeout(() => wakeup(), delay);
       const wakeup = () => {
         clearTimeout(timer);
         this.#wakeups.delete(wakeup);
@@ -174,7 +175,7 @@
   }
 }
 
-function refused(
+function swapError(
   reason: PlatformError["reason"],
   detail: string,
 ): PlatformError {
--- a/packages/store/src/memory_metadata_store.ts
+++ b/packages/store/src/memory_metadata_store.ts
@@ -1,4 +1,4 @@
-/** A metadata store within one process, for tests and stand-ins. @module */
+/** An in-memory metadata store for tests and test doubles. @module */
 import { Result } from "true-myth/result";
 import { MetadataStore } from "./metadata_store.ts";
 import type {
@@ -12,50 +12,50 @@
 } from "./metadata_store.ts";
 import type { PlatformError } from "./platform_error.ts";
 
-/** Milliseconds between looks for changes of a waiting watch. */
-const WATCH_SLICE = 10;
-/** Items in one page: small, so that tests read several. */
+/** Milliseconds between two checks of a waiting watch for changes. */
+const WATCH_POLL_INTERVAL = 10;
+/** Items in one page; small, so that tests read several pages. */
 const PAGE_SIZE = 50;
 
-type Held = StoredItem & { lease: number };
+type LeasedItem = StoredItem & { lease: number };
 
-/** Holds everything in memory; {@link MemoryMetadataStore.outage} makes calls fail. */
+/** Calls fail while {@link MemoryMetadataStore.outage} is set. */
 export class MemoryMetadataStore extends MetadataStore {
   /** While true, every call fails as unreachable. */
   outage = false;
-  /** While true, no watch is told of a change. */
+  /** While true, watches report no changes. */
   withholdsChanges = false;
-  readonly #items = new Map<string, Held>();
+  readonly #items = new Map<string, LeasedItem>();
   readonly #history: ItemChange[] = [];
   readonly #leases = new Set<number>();
   #revision = 1;
-  #oldest = 1;
-  /** Counts the times that all waiting watches were cut. */
-  #cuts = 0;
+  #oldestRevision = 1;
+  /** Number of times that all waiting watches were aborted. */
+  #watchAborts = 0;
 
-  /** Writes a key as an operator or a server does. */
+  /** Writes a key, as an operator or a backend server does. */
   put(key: string, value: string): void {
     this.#write(key, value, 0);
   }
 
-  /** Removes a key. */
+  /** Removes a key, if it is present. */
   remove(key: string): void {
     if (!this.#items.delete(key)) return;
     this.#revision++;
     this.#history.push({ kind: "removed", key, revision: this.#revision });
   }
 
-  /** Cuts the watches that wait. */
+  /** Makes all waiting watches fail as unreachable. */
   abortWatches(): void {
-    this.#cuts++;
+    this.#watchAborts++;
   }
 
   /**
-   * Forgets the history: watches from before it are told to read anew, once
-   * something below their prefix has changed or their wait is over.
+   * Discards the history. Watches from an older revision get `compacted` once a
+   * key with their prefix has changed or their wait is over.
    */
   compact(): void {
-    this.#oldest = this.#revision;
+    this.#oldestRevision = this.#revision;
     this.#history.length = 0;
   }
 
@@ -77,26 +77,29 @@
     options: WatchPrefixOptions,
   ): Promise<Result<ChangeBatch, PlatformError>> {
     const { prefix, after, wait, signal } = options;
-    const cuts = this.#cuts;
-    for (let waited = 0; waited <= wait; waited += WATCH_SLICE) {
-      const lost = this.outage || signal?.aborted || cuts !== this.#cuts;
-      if (lost) return this.#unreachable("watch");
-      const changes = this.#changesBelow(prefix, after);
-      if (changes.length > 0) return Result.ok(this.#told(changes, after));
-      await new Promise((resolve) => setTimeout(resolve, WATCH_SLICE));
+    const watchAborts = this.#watchAborts;
+    for (let waited = 0; waited <= wait; waited += WATCH_POLL_INTERVAL) {
+      const aborted = this.outage || signal?.aborted ||
+        watchAborts !== this.#watchAborts;
+      if (aborted) return this.#unreachable("watch");
+      const changes = this.#changesWithPrefix(prefix, after);
+      if (changes.length > 0) {
+        return Result.ok(this.#changeBatch(changes, after));
+      }
+      await new Promise((resolve) => setTimeout(resolve, WATCH_POLL_INTERVAL));
     }
-    return Result.ok(this.#told([], after));
+    return Result.ok(this.#changeBatch([], after));
   }
 
-  #changesBelow(prefix: string, after: number): ItemChange[] {
+  #changesWithPrefix(prefix: string, after: number): ItemChange[] {
     if (this.withholdsChanges) return [];
     return this.#history.filter((change) =>
       revisionOf(change) > after && keyOf(change).startsWith(prefix)
     );
   }
 
-  #told(changes: ItemChange[], after: number): ChangeBatch {
-    return after < this.#oldest
+  #changeBatch(changes: ItemChange[], after: number): ChangeBatch {
+    return after < this.#oldestRevision
       ? { kind: "compacted" }
       : { kind: "changes", changes, asOf: this.#revision };
   }
@@ -122,12 +125,12 @@
 
   override revokeLease(lease: number): Promise<Result<void, PlatformError>> {
     if (this.outage) return Promise.resolve(this.#unreachable("end lease"));
-    this.lapse(lease);
+    this.expireLease(lease);
     return Promise.resolve(Result.ok(undefined));
   }
 
   /** Ends a lease, and removes the keys bound to it. */
-  lapse(lease: number): void {
+  expireLease(lease: number): void {
     this.#leases.delete(lease);
     for (const item of [...this.#items.values()]) {
       if (item.lease === lease) this.remove(item.key);
--- a/packages/store/src/metadata_store.ts
+++ b/packages/store/src/metadata_store.ts
@@ -1,19 +1,19 @@
 /**
- * A store with ordered keys, prefix reads, watches over a prefix, conditional
- * writes of several keys, and leases: what an entry keeps and follows its state
- * in where the platform offers one. Every call has a price.
+ * A store with ordered keys, prefix reads, prefix watches, transactions over
+ * several keys, and leases. Where the platform offers one, an entry keeps its
+ * state there and follows the state of others. Every call has a cost.
  * @module
  */
 import type { Result } from "true-myth/result";
 import type { PlatformError } from "./platform_error.ts";
 
-/** One stored key. */
+/** A stored key, with the store's revision at its last write. */
 export type StoredItem = { key: string; value: string; revision: number };
 
-/** A page of the keys below a prefix, as of a revision of the whole store. */
+/** A page of the keys with a prefix, as of a revision of the whole store. */
 export type ItemPage = {
   items: StoredItem[];
-  /** More keys follow the last one. */
+  /** Whether more keys follow the last one of this page. */
   more: boolean;
   asOf: number;
 };
@@ -23,41 +23,46 @@
   | { kind: "written"; item: StoredItem }
   | { kind: "removed"; key: string; revision: number };
 
-/** What a watch saw. */
+/** Result of a watch. */
 export type ChangeBatch =
   | { kind: "changes"; changes: ItemChange[]; asOf: number }
-  /** The history is gone: read everything again. */
+  /** The store has discarded the history: read all items again. */
   | { kind: "compacted" };
 
-/** A write that happens as a whole, or not at all. */
+/** Writes and removals that take effect all together or not at all. */
 export type Transaction = {
-  /** Revisions that the keys must have; 0: absent. */
+  /** Revisions that the keys must have; 0: the key must be absent. */
   expected: readonly { key: string; revision: number }[];
   writes: readonly { key: string; value: string; lease?: number }[];
   removals: readonly string[];
 };
 
-/** What became of a transaction. */
+/** Result of a transaction; `no_lease`: a write names an unknown lease. */
 export type TransactionOutcome =
   | { kind: "committed"; revision: number }
   | { kind: "conflict" }
   | { kind: "no_lease" };
 
-/** What to watch; `wait` in milliseconds. */
+/**
+ * Prefix to watch, the revision that the watcher has already, and the maximum
+ * wait in milliseconds.
+ */
 export type WatchPrefixOptions = {
   prefix: string;
   after: number;
   wait: number;
-  /** Gives the watch up: it then fails as unreachable. */
+  /** Aborts the watch, which then fails as unreachable. */
   signal?: AbortSignal;
 };
 
 /**
- * A write without an answer may have taken effect, or may still do so: its error
- * says `applied: "unknown"`.
+ * A write without a response may have taken effect, or may still do so: its
+ * error has `applied: "unknown"`.
  */
 export abstract class MetadataStore {
-  /** Keys below `prefix` that follow `after`, in order; `signal` gives it up. */
+  /**
+   * Keys with `prefix` that follow `after`, in order; `signal` aborts the call.
+   */
   abstract readPage(
     prefix: string,
     after?: string,
@@ -73,10 +78,10 @@
     transaction: Transaction,
   ): Promise<Result<TransactionOutcome, PlatformError>>;
 
-  /** Grants a lease of `duration` milliseconds. */
+  /** Grants a lease of `duration` milliseconds; resolves to its identifier. */
   abstract grantLease(duration: number): Promise<Result<number, PlatformError>>;
 
-  /** Extends a lease; `false` once it has lapsed. */
+  /** Extends a lease; resolves to `false` if it has already expired. */
   abstract renewLease(lease: number): Promise<Result<boolean, PlatformError>>;
 
   abstract revokeLease(lease: number): Promise<Result<void, PlatformError>>;
--- a/packages/store/src/mod.ts
+++ b/packages/store/src/mod.ts
@@ -1,4 +1,8 @@
-/** The platform's services: abstract classes and their HTTP implementations. @module */
+/**
+ * The platform's key-value service, metadata store and instance list, with HTTP
+ * and in-memory implementations, and the claims of non-idempotent requests.
+ * @module
+ */
 export { KeyValueStore, MAXIMUM_VALUE_BYTES } from "./key_value_store.ts";
 export type {
   KeyValueEntry,
@@ -46,8 +50,8 @@
   ClaimLedgerOptions,
   ClaimRequest,
 } from "./claims/claim_ledger.ts";
-export type { ClaimAnswer, HeldClaim } from "./claims/claim_answer.ts";
+export type { ClaimResult, HeldClaim } from "./claims/claim_result.ts";
 export type { ClaimKey } from "./claims/claim_identity.ts";
 export { MAXIMUM_RECORDED_BODY_BYTES } from "./claims/recorded_response.ts";
 export type { RecordedResponse } from "./claims/recorded_response.ts";
-export { claimCommitBudgetOptions } from "./claims/commit_pace.ts";
+export { claimCommitBudgetOptions } from "./claims/commit_rate_limiter.ts";
--- a/packages/store/src/platform_error.ts
+++ b/packages/store/src/platform_error.ts
@@ -1,6 +1,8 @@
-/** A failed call to the platform, with the step and the peer. @module */
+/** A failed call to a service of the platform. @module */
 
-/** What went wrong; `budget` and `too_large` are found before anything is sent. */
+/**
+ * Why it failed; `budget` and `too_large` are detected before anything is sent.
+ */
 export type PlatformErrorReason =
   | "unreachable"
   | "timeout"
@@ -9,7 +11,10 @@
   | "budget"
   | "too_large";
 
-/** `applied: "no"` only where the call certainly took no effect. */
+/**
+ * A failed call. `peer` is the service's address or the key concerned.
+ * `applied` is `"no"` only if the call certainly had no effect.
+ */
 export type PlatformError = {
   step: string;
   peer: string;
@@ -18,7 +23,7 @@
   detail: string;
 };
 
-/** One line for people: step, peer, reason, and what is known of the effect. */
+/** One line for operators: step, peer, reason, and whether it took effect. */
 export function describePlatformError(error: PlatformError): string {
   const effect = error.applied === "no"
     ? "nothing was changed"
--- a/packages/store/src/status.ts
+++ b/packages/store/src/status.ts
@@ -1,6 +1,6 @@
 /**
- * What each process answers on `GET /status` of its operators' HTTP port.
- * Durations are milliseconds.
+ * Response to `GET /status` on the HTTP port that each process has for
+ * operators. Durations are in milliseconds.
  * @module
  */
 import * as v from "valibot";
@@ -8,21 +8,21 @@
 const count = v.pipe(v.number(), v.minValue(0));
 const counters = v.record(v.string(), count);
 
-/** A backend server as its sidecar, or an entry, sees it. */
+/** State of a backend server, as seen by its sidecar or by an entry. */
 export const serverStatusSchema = v.object({
   name: v.string(),
   healthy: v.boolean(),
-  /** Taken out of the choice for a while after failures. */
+  /** Not chosen for some time, because of failures. */
   ejected: v.boolean(),
   running: count,
   waiting: count,
-  /** Requests it can run at once, as found by the limit. */
+  /** Requests that it can run at once, according to its concurrency limit. */
   limit: count,
 });
-/** See {@link serverStatusSchema}. */
+/** State of a backend server; fields as in {@link serverStatusSchema}. */
 export type ServerStatus = v.InferOutput<typeof serverStatusSchema>;
 
-/** How far a move has come. */
+/** Progress of a move from one version of a service to another. */
 export const moveStatusSchema = v.object({
   name: v.string(),
   service: v.string(),
@@ -31,15 +31,15 @@
   /** Share of the service's traffic that the new version gets, 0 to 1. */
   share: v.number(),
   state: v.picklist(["waiting", "moving", "complete", "taken_back"]),
-  /** RFC 3339 instant. */
+  /** RFC 3339 timestamp. */
   deadline: v.string(),
-  /** Why it was taken back, or what it waits for. */
+  /** Why the move was taken back, or what it is waiting for. */
   detail: v.optional(v.string()),
 });
-/** See {@link moveStatusSchema}. */
+/** Progress of a move; fields as in {@link moveStatusSchema}. */
 export type MoveStatus = v.InferOutput<typeof moveStatusSchema>;
 
-/** The answer. */
+/** The whole response. */
 export const statusSchema = v.object({
   instance: v.string(),
   role: v.picklist(["entry", "sidecar"]),
@@ -49,17 +49,18 @@
   /** 0 until a configuration is in force. */
   configurationRevision: count,
   ready: v.boolean(),
+  /** The process is draining. */
   leaving: v.boolean(),
-  /** Since the start of the process. */
+  /** Time since the start of the process. */
   uptime: count,
-  /** Requests refused since the start, by reason. */
+  /** Requests refused since the start of the process, by reason. */
   refusals: counters,
-  /** Placements tried again since the start, by reason. */
+  /** Placements retried since the start of the process, by reason. */
   retries: counters,
   waiting: count,
   running: count,
   servers: v.optional(v.array(serverStatusSchema)),
   moves: v.optional(v.array(moveStatusSchema)),
 });
-/** See {@link statusSchema}. */
+/** The whole response; fields as in {@link statusSchema}. */
 export type Status = v.InferOutput<typeof statusSchema>;
--- a/packages/store/test/claims/claim_races_test.ts
+++ b/packages/store/test/claims/claim_races_test.ts
@@ -1,7 +1,7 @@
-// Three entries, two keys, and a service that loses, delays and drops writes.
-// Whatever the order of events: no request runs twice, a released one did not
-// run, and a resend that is told "done" gets the outcome of the one run.
-// CLAIM_RACES_RUNS and CLAIM_RACES_SEED lengthen the search.
+// Three entries claim two keys in a service that drops and delays writes and
+// loses responses. In every order of events: no request runs twice, a released
+// one did not run, and a retry that gets "done" gets the outcome of the one run.
+// CLAIM_RACES_RUNS and CLAIM_RACES_SEED set the number of runs and the seed.
 import fc from "fast-check";
 import process from "node:process";
 import { Result } from "true-myth/result";
@@ -19,9 +19,10 @@
   WatchOptions,
   WatchOutcome,
 } from "../../src/mod.ts";
-import { NOW, requestWith } from "./example.ts";
+import { createRequest, NOW } from "./fixture.ts";
 
 const RUNS = Number(process.env["CLAIM_RACES_RUNS"] ?? 150);
+/** Milliseconds. */
 const CLAIM_TIMEOUT = 1e9;
 const SEED = Number(process.env["CLAIM_RACES_SEED"] ?? 20300101);
 
@@ -34,7 +35,7 @@
 type Attempt = {
   ledger: number;
   key: string;
-  end: "record" | "release" | "die";
+  end: "record" | "release" | "crash";
 };
 type Event = {
   key: string;
@@ -42,30 +43,34 @@
   type: "claimed" | "ran" | "released" | "done";
 };
 
-/** Every call, and every answer, waits for its turn. */
+/** A store in which each call and each response is delivered when scheduled. */
 class ScheduledStore extends KeyValueStore {
   readonly #inner = new MemoryKeyValueStore();
   readonly #scheduler: fc.Scheduler;
   readonly #faults: Fault[];
-  readonly #blind: boolean;
+  readonly #ignoresRevisions: boolean;
 
-  constructor(scheduler: fc.Scheduler, faults: Fault[], blind: boolean) {
+  constructor(
+    scheduler: fc.Scheduler,
+    faults: Fault[],
+    ignoresRevisions: boolean,
+  ) {
     super();
     this.#scheduler = scheduler;
     this.#faults = [...faults];
-    this.#blind = blind;
+    this.#ignoresRevisions = ignoresRevisions;
   }
 
-  turn(): Promise<void> {
+  waitForTurn(): Promise<void> {
     return this.#scheduler.schedule(Promise.resolve());
   }
 
   override async get(
     key: string,
   ): Promise<Result<KeyValueEntry | undefined, PlatformError>> {
-    await this.turn();
+    await this.waitForTurn();
     const entry = await this.#inner.get(key);
-    await this.turn();
+    await this.waitForTurn();
     return entry;
   }
 
@@ -74,31 +79,33 @@
   ): Promise<Result<SwapOutcome, PlatformError>> {
     const fault = this.#faults.shift() ?? "none";
     if (fault === "late_request") {
-      void this.#swapLate(options);
+      void this.#swapLater(options);
     }
     if (fault !== "none" && fault !== "lost_answer") {
-      await this.turn();
+      await this.waitForTurn();
       return Result.err(failed(fault === "refused" ? "no" : "unknown"));
     }
-    await this.turn();
+    await this.waitForTurn();
     const outcome = await this.#swap(options);
-    await this.turn();
+    await this.waitForTurn();
     return fault === "none" ? outcome : Result.err(failed("unknown"));
   }
 
-  async #swapLate(options: SwapOptions): Promise<void> {
-    await this.turn();
-    await this.turn();
-    await this.turn();
+  async #swapLater(options: SwapOptions): Promise<void> {
+    await this.waitForTurn();
+    await this.waitForTurn();
+    await this.waitForTurn();
     await this.#swap(options);
   }
 
-  /** With the guard out, a write goes through whatever it expects. */
+  /** Without the check of revisions, a write succeeds whatever it expects. */
   async #swap(
     options: SwapOptions,
   ): Promise<Result<SwapOutcome, PlatformError>> {
     const entry = (await this.#inner.get(options.key)).unwrapOr(undefined);
-    const expected = this.#blind ? entry?.revision ?? 0 : options.expected;
+    const expected = this.#ignoresRevisions
+      ? entry?.revision ?? 0
+      : options.expected;
     return this.#inner.compareAndSwap({ ...options, expected });
   }
 
@@ -128,7 +135,7 @@
   };
 }
 
-/** One attempt of a caller at one entry. */
+/** One attempt of a caller at one entry, recorded in the history. */
 async function attempt(
   options: {
     ledgers: ClaimLedger[];
@@ -140,20 +147,20 @@
 ): Promise<void> {
   const { ledgers, store, history, attempt: { ledger, key, end }, run } =
     options;
-  const answer = await ledgers[ledger]!.claim(requestWith({ key }));
-  if (answer.isErr) {
+  const result = await ledgers[ledger]!.claim(createRequest({ key }));
+  if (result.isErr) {
     return;
   }
-  if (answer.value.kind === "done") {
-    const told = answer.value.outcome.headers["run"] ?? "";
-    history.push({ key, run: told, type: "done" });
+  if (result.value.kind === "done") {
+    const recordedRun = result.value.outcome.headers["run"] ?? "";
+    history.push({ key, run: recordedRun, type: "done" });
   }
-  if (answer.value.kind !== "claimed") {
+  if (result.value.kind !== "claimed") {
     return;
   }
-  const { claim } = answer.value;
+  const { claim } = result.value;
   history.push({ key, run, type: "claimed" });
-  await store.turn();
+  await store.waitForTurn();
   if (end === "release") {
     history.push({ key, run, type: "released" });
     await ledgers[ledger]!.release(claim);
@@ -166,7 +173,7 @@
   }
 }
 
-/** Reads the history only. */
+/** Returns the rules that the history violates. */
 function violations(history: Event[]): string[] {
   const found: string[] = [];
   for (const key of new Set(history.map((event) => event.key))) {
@@ -178,7 +185,7 @@
     if (
       events.some(({ type, run }) => type === "done" && run !== runs[0]?.run)
     ) {
-      found.push(`${key} was answered with another run's outcome`);
+      found.push(`${key} got the outcome of another run`);
     }
     let holder: string | undefined;
     for (const { type, run } of events) {
@@ -195,23 +202,27 @@
   return found;
 }
 
-async function turns(store: ScheduledStore, count: number): Promise<void> {
+async function waitForTurns(
+  store: ScheduledStore,
+  count: number,
+): Promise<void> {
   for (let turn = 0; turn < count; turn += 1) {
-    await store.turn();
+    await store.waitForTurn();
   }
 }
 
-async function search(
+async function simulate(
   options: {
     scheduler: fc.Scheduler;
     faults: Fault[];
     attempts: Attempt[];
     timeoutTurns: number;
-    blind: boolean;
+    ignoresRevisions: boolean;
   },
 ): Promise<Event[]> {
-  const { scheduler, faults, attempts, timeoutTurns, blind } = options;
-  const store = new ScheduledStore(scheduler, faults, blind);
+  const { scheduler, faults, attempts, timeoutTurns, ignoresRevisions } =
+    options;
+  const store = new ScheduledStore(scheduler, faults, ignoresRevisions);
   const history: Event[] = [];
   const ledgers = ["a", "b", "c"].map((incarnation) =>
     new ClaimLedger({
@@ -220,7 +231,7 @@
       commitBudget: { perSecond: 1e9, burst: 1e9 },
       claimTimeout: CLAIM_TIMEOUT,
       pause: (duration) =>
-        turns(store, duration === CLAIM_TIMEOUT ? timeoutTurns : 1),
+        waitForTurns(store, duration === CLAIM_TIMEOUT ? timeoutTurns : 1),
       random: () => 0.5,
       wallClock: () => NOW,
     })
@@ -242,7 +253,7 @@
 
 const plans = {
   scheduler: fc.scheduler(),
-  /** Events that a claim outlasts: a short time or a long one. */
+  /** Turns of the scheduler after which a claim times out: few or many. */
   timeoutTurns: fc.constantFrom(8, 40),
   faults: fc.array(
     fc.constantFrom<Fault>(
@@ -258,17 +269,17 @@
     fc.record({
       ledger: fc.nat({ max: 2 }),
       key: fc.constantFrom("key-1", "key-2"),
-      end: fc.constantFrom<Attempt["end"]>("record", "release", "die"),
+      end: fc.constantFrom<Attempt["end"]>("record", "release", "crash"),
     }),
     { minLength: 2, maxLength: 8 },
   ),
 };
 
-t.test("no interleaving lets a request run twice", async (t) => {
+t.test("no request runs twice in any order of events", async (t) => {
   let operations = 0;
   await fc.assert(
     fc.asyncProperty(fc.record(plans), async (plan) => {
-      const history = await search({ ...plan, blind: false });
+      const history = await simulate({ ...plan, ignoresRevisions: false });
       operations += history.length;
       const found = violations(history);
       if (found.length > 0) {
@@ -281,10 +292,10 @@
   t.pass();
 });
 
-t.test("the checker catches a service that swaps blindly", async (t) => {
+t.test("finds violations if the service ignores revisions", async (t) => {
   const outcome = await fc.check(
     fc.asyncProperty(fc.record(plans), async (plan) => {
-      const history = await search({ ...plan, blind: true });
+      const history = await simulate({ ...plan, ignoresRevisions: true });
       return violations(history).length === 0;
     }),
     { numRuns: RUNS, seed: SEED, endOnFailure: true },
--- a/packages/store/test/claims/example.ts
+++ b/packages/store/test/claims/fixture.ts
@@ -1,20 +1,21 @@
-/** Ledgers for tests, without waiting. @module */
+/** Claim ledgers and requests for tests. @module */
 import { setImmediate as nextTurn } from "node:timers/promises";
 import { ClaimLedger } from "../../src/mod.ts";
 import type {
-  ClaimAnswer,
   ClaimLedgerOptions,
   ClaimRequest,
+  ClaimResult,
   KeyValueStore,
   PlatformError,
 } from "../../src/mod.ts";
 import type { Result } from "true-myth/result";
 
 export const NOW = Date.parse("2030-01-01T00:00:00Z");
+/** Milliseconds. */
 const CLAIM_TIMEOUT = 1e9;
 
-/** Pauses take a turn of the event loop; claims don't time out. */
-export function ledgerOn(
+/** Its pauses take one turn of the event loop; its claims don't time out. */
+export function createLedger(
   store: KeyValueStore,
   incarnation: string,
   options: Partial<ClaimLedgerOptions> = {},
@@ -32,7 +33,9 @@
   });
 }
 
-export function requestWith(options: Partial<ClaimRequest> = {}): ClaimRequest {
+export function createRequest(
+  options: Partial<ClaimRequest> = {},
+): ClaimRequest {
   return {
     service: "orders",
     organisation: "cafe",
@@ -43,10 +46,10 @@
   };
 }
 
-/** The claim that a test holds. */
-export function held(answer: Result<ClaimAnswer, PlatformError>) {
-  if (answer.isErr || answer.value.kind !== "claimed") {
-    throw new Error(`not claimed: ${answer}`);
+/** Returns the held claim; throws if the request was not claimed. */
+export function expectClaimed(result: Result<ClaimResult, PlatformError>) {
+  if (result.isErr || result.value.kind !== "claimed") {
+    throw new Error(`not claimed: ${result}`);
   }
-  return answer.value.claim;
+  return result.value.claim;
 }
--- a/packages/store/test/memory_key_value_store_test.ts
+++ b/packages/store/test/memory_key_value_store_test.ts
@@ -1,23 +1,23 @@
 import t from "tap";
 import { MemoryKeyValueStore } from "../src/mod.ts";
 
-t.test("swaps only from the expected revision", async (t) => {
+t.test("writes only if the revision is the expected one", async (t) => {
   const store = new MemoryKeyValueStore();
   const first = await store.compareAndSwap({
     key: "k",
     expected: 0,
     value: "1",
   });
-  const racing = await store.compareAndSwap({
+  const conflicting = await store.compareAndSwap({
     key: "k",
     expected: 0,
     value: "2",
   });
   t.match(first, { value: { swapped: true } });
-  t.match(racing, { value: { swapped: false, current: { value: "1" } } });
+  t.match(conflicting, { value: { swapped: false, current: { value: "1" } } });
 });
 
-t.test("a lapsed lease takes its key along and frees its revision", async (t) => {
+t.test("removes keys of an expired lease and rejects writes with it", async (t) => {
   let now = 0;
   const store = new MemoryKeyValueStore({ clock: () => now });
   const lease = (await store.grantLease(100)).unwrapOr("");
@@ -38,7 +38,7 @@
   t.match(late, { error: { reason: "status", applied: "no" } });
 });
 
-t.test("a watch ends at a write and at a restored state", async (t) => {
+t.test("ends a watch at a write and at a restored older state", async (t) => {
   const store = new MemoryKeyValueStore();
   const before = store.backup();
   const written = store.watch({ key: "k", after: 0, wait: 60_000 });
@@ -47,6 +47,6 @@
   const restored = store.watch({ key: "k", after: 1, wait: 60_000 });
   store.restore(before);
   t.match(await restored, { value: { changed: true, entry: undefined } });
-  const quiet = await store.watch({ key: "k", after: 0, wait: 0 });
-  t.match(quiet, { value: { changed: false } });
+  const unchanged = await store.watch({ key: "k", after: 0, wait: 0 });
+  t.match(unchanged, { value: { changed: false } });
 });
