--- a/packages/store/src/claims/sealed_index.ts
+++ b/packages/store/src/claims/sealed_index.ts
@@ -48,7 +48,10 @@
   return { segment, prefixes: Buffer.concat(prefixes) };
 }
 
-/** Whether the segment may contain the claim; 1 in 16 million false positives. */
+/**
+ * Whether the segment may contain the claim. Of identities that it does not
+ * contain, one in 16 million matches a given prefix.
+ */
 export function mayContain(
   reference: SegmentReference,
   identity: string,
--- a/packages/store/test/claims/claim_ledger_test.ts
+++ b/packages/store/test/claims/claim_ledger_test.ts
@@ -71,7 +71,7 @@
   t.match(await retry(NOW + 66_000), { value: { kind: "unknown" } });
 });
 
-t.test("a claim is found if the response to its write is lost", async (t) => {
+t.test("a claim succeeds although its writes or their responses are lost", async (t) => {
   for (
     const fault of ["lost_answer", "lost_request", "late_request"] as const
   ) {
