--- a/packages/configuration/src/check/check_moves.ts
+++ b/packages/configuration/src/check/check_moves.ts
@@ -1,7 +1,8 @@
-/** Moves shift traffic off the live version, one at a time. @module */
+/** Checks moves: each starts at the live version, one per service. @module */
 import type { ConfigurationObjects, Move } from "../objects.ts";
 import type { Findings } from "./findings.ts";
 
+/** A move to be checked, its index in `moves`, and where to report problems. */
 type MoveCheck = {
   move: Move;
   index: number;
@@ -10,8 +11,9 @@
 };
 
 /**
- * A move whose deadline has passed is over. It may stay in the set unchanged,
- * but a new or edited one must lie ahead, or it is over before it begins.
+ * Checks every move. A move whose deadline has passed is over: it may stay in
+ * the configuration unchanged. The deadline of a new or edited move must be in
+ * the future, otherwise the move would be over before it starts.
  */
 export function checkMoves(
   objects: ConfigurationObjects,
@@ -62,7 +64,7 @@
   if (move.from === move.to) {
     findings.add({
       path: ["moves", index, "to"],
-      detail: "the move ends at the version where it begins",
+      detail: "from and to name the same version",
       mend: "name the new version in to",
     });
   }
--- a/packages/configuration/src/check/check_names.ts
+++ b/packages/configuration/src/check/check_names.ts
@@ -1,9 +1,11 @@
-/** No two objects of a kind may share a name. @module */
+/** Checks that names are unique. @module */
 import { KINDS, objectIdentity } from "../kinds.ts";
 import type { ConfigurationObjects } from "../objects.ts";
 import type { Findings } from "./findings.ts";
 
-/** Two objects with one name would leave open which of them holds. */
+/**
+ * With two objects of the same name it would be ambiguous which one applies.
+ */
 export function checkNames(
   objects: ConfigurationObjects,
   findings: Findings,
--- a/packages/configuration/src/check/check_objects.ts
+++ b/packages/configuration/src/check/check_objects.ts
@@ -1,4 +1,4 @@
-/** The check of the whole set, without which nothing is published. @module */
+/** Checks a whole configuration before it is published. @module */
 import type { ConfigurationObjects } from "../objects.ts";
 import type { Problem } from "../problem.ts";
 import type { Source } from "../source.ts";
@@ -10,17 +10,19 @@
 import { checkVersions } from "./check_versions.ts";
 import { Findings } from "./findings.ts";
 
-/** What the check needs to know besides the set. */
+/** Options of {@link checkObjects}. */
 export type CheckOptions = {
-  /** Milliseconds since 1970; deadlines must lie after it. */
+  /** Milliseconds since 1970; deadlines must be later. */
   now: number;
-  /** Gives problems their lines. */
+  /**
+   * The file that the objects were read from; used for the lines of problems.
+   */
   source?: Source;
-  /** The set in force; its moves that are over may stay. */
+  /** The published configuration; its moves that are over may stay. */
   before?: ConfigurationObjects;
 };
 
-/** Every problem of the set; an empty list means it may be published. */
+/** Returns all problems; a configuration without any may be published. */
 export function checkObjects(
   objects: ConfigurationObjects,
   options: CheckOptions,
--- a/packages/configuration/src/check/check_organisations.ts
+++ b/packages/configuration/src/check/check_organisations.ts
@@ -1,9 +1,12 @@
-/** Organisations refer to existing services and tiers. @module */
+/** Checks organisations: their services, tiers and credentials. @module */
 import type { ConfigurationObjects } from "../objects.ts";
 import type { ObjectPath } from "../problem.ts";
 import type { Findings } from "./findings.ts";
 
-/** A credential must mean one organisation, or its callers share an account. */
+/**
+ * A credential must belong to one organisation only, otherwise callers of
+ * different organisations would share an account.
+ */
 export function checkOrganisations(
   objects: ConfigurationObjects,
   findings: Findings,
--- a/packages/configuration/src/check/check_services.ts
+++ b/packages/configuration/src/check/check_services.ts
@@ -1,11 +1,10 @@
-/** Services name existing tiers, and their routes are unambiguous. @module */
+/** Checks services: their tiers, models and routes. @module */
 import type { ConfigurationObjects, Route, Service } from "../objects.ts";
 import type { Findings } from "./findings.ts";
 
-/** Methods that clients and balancers repeat without being asked. */
+/** Methods that HTTP clients and load balancers retry on their own. */
 const SAFE_METHODS = new Set(["GET", "HEAD"]);
 
-/** Checks each service; see the messages for the rules. */
 export function checkServices(
   objects: ConfigurationObjects,
   findings: Findings,
@@ -28,14 +27,14 @@
   if (service.kind === "plain" && service.models.length > 0) {
     findings.add({
       path: ["services", index, "models"],
-      detail: "a plain service answers for no model",
+      detail: "a plain service can't have models",
       mend: 'remove models or set kind to "model"',
     });
   }
   if (service.kind === "model" && service.routes.length > 0) {
     findings.add({
       path: ["services", index, "routes"],
-      detail: "a model service has the one route of chat completions",
+      detail: "a model service has only the route of chat completions",
       mend: 'remove routes or set kind to "plain"',
     });
   }
@@ -51,7 +50,7 @@
       }))
     ),
     what: "the model",
-    mend: "let each model mean one service",
+    mend: "list each model in one service only",
   });
 }
 
@@ -93,15 +92,15 @@
   if (route.path.slice(0, -1).includes("*")) {
     findings.add({
       path: [...path, "path"],
-      detail: '"*" stands before the end',
+      detail: '"*" is not at the end',
       mend: 'write an exact path, or a prefix that ends in "*"',
     });
   }
   if (!route.idempotent && SAFE_METHODS.has(route.method)) {
     findings.add({
       path: [...path, "idempotent"],
-      detail: `clients repeat ${route.method} on their own, so that a call ` +
-        "which may not run twice can't be protected",
+      detail: `clients retry ${route.method} on their own, so a call ` +
+        "that may not run twice can't be protected",
       mend: "serve the call under POST, or set idempotent to true",
     });
   }
--- a/packages/configuration/src/check/check_tiers.ts
+++ b/packages/configuration/src/check/check_tiers.ts
@@ -1,8 +1,8 @@
-/** Tiers are ranked without ties. @module */
+/** Checks tiers: unique ranks and consistent durations. @module */
 import type { ConfigurationObjects } from "../objects.ts";
 import type { Findings } from "./findings.ts";
 
-/** Equal ranks would leave open which of two tiers is shed first. */
+/** With equal ranks it would be ambiguous which of two tiers is shed first. */
 export function checkTiers(
   objects: ConfigurationObjects,
   findings: Findings,
@@ -20,7 +20,7 @@
     if ((tier.firstTokenGoal ?? 0) > tier.defaultDeadline) {
       findings.add({
         path: ["tiers", index, "firstTokenGoal"],
-        detail: "the goal lies after the default deadline",
+        detail: "the goal is longer than the default deadline",
         mend: "lower firstTokenGoal or raise defaultDeadline (milliseconds)",
       });
     }
--- a/packages/configuration/src/check/check_versions.ts
+++ b/packages/configuration/src/check/check_versions.ts
@@ -1,8 +1,8 @@
-/** A service with versions has exactly one that is live. @module */
+/** Checks that a service with versions has exactly one live version. @module */
 import type { ConfigurationObjects } from "../objects.ts";
 import type { Findings } from "./findings.ts";
 
-/** Without a live version a service's requests have nowhere to go. */
+/** Without a live version there is no destination for a service's requests. */
 export function checkVersions(
   objects: ConfigurationObjects,
   findings: Findings,
--- a/packages/configuration/src/check/findings.ts
+++ b/packages/configuration/src/check/findings.ts
@@ -1,14 +1,16 @@
-/** Collects what the checks find. @module */
+/** Collects the findings of the checks. @module */
 import { objectAt } from "../read_objects.ts";
 import type { ConfigurationObjects } from "../objects.ts";
 import { fieldName } from "../problem.ts";
 import type { ObjectPath, Problem } from "../problem.ts";
 import type { Source } from "../source.ts";
 
-/** What a check states; place and object follow from the path. */
+/**
+ * A problem found by a check; its line and object are derived from the path.
+ */
 export type Finding = { path: ObjectPath; detail: string; mend: string };
 
-/** Turns findings into problems with file, line, object and field. */
+/** Converts findings to problems with file, line, object and field. */
 export class Findings {
   readonly problems: Problem[] = [];
   readonly #objects: ConfigurationObjects;
@@ -31,7 +33,7 @@
     });
   }
 
-  /** States a name that refers to nothing. */
+  /** Adds a finding if `name` is not one of the `known` names. */
   addDangling(
     options: {
       path: ObjectPath;
@@ -52,7 +54,10 @@
     });
   }
 
-  /** States each value that already stood earlier; `describe` names it. */
+  /**
+   * Adds a finding for each entry whose key an earlier entry has. `what` is the
+   * kind of value and `holder` the object that has it, as shown in the message.
+   */
   addRepeated(
     options: {
       entries: { path: ObjectPath; key: string; holder?: string }[];
--- a/packages/configuration/src/configuration_follower.ts
+++ b/packages/configuration/src/configuration_follower.ts
@@ -1,4 +1,4 @@
-/** Keeps a process's configuration up to date. @module */
+/** Keeps the configuration of a process up to date. @module */
 import { setTimeout as sleep } from "node:timers/promises";
 import type {
   KeyValueEntry,
@@ -10,35 +10,43 @@
 import { adopt } from "./snapshot.ts";
 import type { Snapshot } from "./snapshot.ts";
 
-/** Processes that write the set back when the service has lost it. */
+/**
+ * Expected number of processes that write back a configuration that was lost.
+ */
 const EXPECTED_RESTORERS = 3;
 
-/** What a follower needs. */
+/** Options of {@link ConfigurationFollower}. */
 export type FollowerOptions = {
   store: KeyValueStore;
-  /** Processes in the fleet, as far as known; spaces the calls. */
+  /**
+   * Number of processes in the fleet, as far as known; sets the poll interval.
+   */
   fleetSize: () => number;
-  /** Between 0 and 1, such as `Math.random`. */
+  /** Returns a number from 0 to 1, as `Math.random` does. */
   random: () => number;
-  /** Called after each change of the set in force. */
+  /** Called after each change of the configuration in force. */
   onChange?: (snapshot: Snapshot) => void;
+  /** Key of the manifest; by default {@link MANIFEST_KEY}. */
   key?: string;
 };
 
-/** Events since the start, for the counters of the process. */
+/** Numbers of events since the start of the process. */
 export type FollowerCounts = {
+  /** Configurations that came into force. */
   adopted: number;
-  /** Values that are no manifest, or one that this release can't read. */
+  /** Values that are not a manifest, or not one that this release can read. */
   malformed: number;
-  /** Calls of the service that failed. */
+  /** Failed calls to the key-value service. */
   failed: number;
-  /** Times that this process wrote a lost set back. */
+  /**
+   * Times that this process wrote back a configuration that the service lost.
+   */
   restored: number;
 };
 
 /**
- * Follows the published set through the platform's service and through peers. An
- * outage of the service leaves the last accepted set in force.
+ * Receives the published configuration from the key-value service and from
+ * peers. During an outage of the service the last configuration stays in force.
  */
 export class ConfigurationFollower {
   readonly counts: FollowerCounts = {
@@ -50,9 +58,11 @@
   readonly #options: FollowerOptions;
   readonly #key: string;
   #inForce: Snapshot | undefined;
-  /** The store's own revision of the key as last read. */
+  /** The key-value service's revision of the key, as last read. */
   #seenRevision = 0;
-  /** Revision inside the manifest as last read; 0 while there is none. */
+  /**
+   * Revision of the configuration in the manifest, as last read; 0 if absent.
+   */
   #storedRevision = 0;
   #failuresInRow = 0;
   #lastError: PlatformError | undefined;
@@ -62,22 +72,24 @@
     this.#key = options.key ?? MANIFEST_KEY;
   }
 
-  /** The set in force; absent until one is found. */
+  /** The configuration in force; absent until one has been received. */
   get activeSnapshot(): Snapshot | undefined {
     return this.#inForce;
   }
 
-  /** Revision in force; 0 until a set is found. */
+  /** Revision in force; 0 until a configuration has been received. */
   get revision(): number {
     return this.#inForce?.revision ?? 0;
   }
 
-  /** The latest call's error; absent when it succeeded. */
+  /** Error of the latest call; absent if it succeeded. */
   get lastError(): PlatformError | undefined {
     return this.#lastError;
   }
 
-  /** Offers a manifest that a peer sent; `true` if it is now in force. */
+  /**
+   * Handles a manifest that a peer sent; returns whether it came into force.
+   */
   receiveManifest(text: string): boolean {
     const offered = decodeManifest(text);
     if (offered.isErr) {
@@ -87,7 +99,9 @@
     return this.#adopt(offered.value);
   }
 
-  /** Follows until the signal aborts; a watch under way is left behind. */
+  /**
+   * Polls until the signal aborts, and then doesn't wait for a running watch.
+   */
   async run(signal: AbortSignal): Promise<void> {
     const stopped = new Promise<void>((resolve) => {
       signal.addEventListener("abort", () => resolve(), { once: true });
@@ -103,7 +117,7 @@
     }
   }
 
-  /** One call of the service and what follows from its answer. */
+  /** Makes one call to the key-value service and handles its response. */
   async poll(): Promise<void> {
     const outcome = await this.#options.store.watch({
       key: this.#key,
@@ -132,7 +146,8 @@
     }
     const stored = decodeManifest(entry.value);
     if (stored.isErr) {
-      // Perhaps of a newer release: never to be overwritten by this one.
+      // It may have been written by a newer release, so it must not be
+      // overwritten. As the highest revision it is never considered lost.
       this.#storedRevision = Number.MAX_SAFE_INTEGER;
       this.counts.malformed += 1;
       return;
@@ -153,10 +168,12 @@
   }
 
   /**
-   * The service was restored to an older state, or emptied: what operators saw
-   * accepted is in force here, yet a new process would start with the old set.
-   * A few processes, drawn by lot, write the newer set back. The swap names the
-   * revision that was read, so that it can't undo a publish made meanwhile.
+   * Writes the configuration in force back after the service was restored to an
+   * older state or emptied. Otherwise a new process would start with the old
+   * configuration, although operators saw the newer one accepted. Each process
+   * decides at random, so that only a few of the fleet write. The
+   * compare-and-swap expects the revision that was read, so that it can't undo
+   * a publish made since.
    */
   async #restore(): Promise<void> {
     const share = EXPECTED_RESTORERS / Math.max(1, this.#options.fleetSize());
--- a/packages/configuration/src/configuration_index.ts
+++ b/packages/configuration/src/configuration_index.ts
@@ -1,4 +1,7 @@
-/** Looks up the objects that a request needs, at the rate of requests. @module */
+/**
+ * Index of the configuration objects for the lookups of every request.
+ * @module
+ */
 import { createHash } from "node:crypto";
 import { Result } from "true-myth/result";
 import type {
@@ -11,21 +14,23 @@
   Version,
 } from "./objects.ts";
 
-/** Methods without effect on the server, so that a repeat does no harm. */
+/** Methods without effect on the server, so that a retry is harmless. */
 const SAFE_METHODS = new Set(["GET", "HEAD"]);
 
-/** How a call of a service is treated. */
+/** The settings that apply to a call of a service. */
 export type RouteTreatment = {
-  /** The configured path that matched; bounded in number, unlike callers' paths. */
+  /**
+   * The configured path that matched. Unlike callers' paths, limited in number.
+   */
   route: string;
   idempotent: boolean;
   tier: string;
 };
 
-/** Why a request does not get the tier that it asks for. */
+/** Why a request can't have the tier that it asks for. */
 export type TierRefusal = "unknown_tier" | "tier_not_allowed";
 
-/** Built once for each snapshot. */
+/** Lookup tables over one snapshot's objects, built once for each snapshot. */
 export class ConfigurationIndex {
   readonly objects: ConfigurationObjects;
   readonly #services: Map<string, Service>;
@@ -61,7 +66,7 @@
     return this.#organisations.get(name);
   }
 
-  /** The service that a chat completion's `model` means. */
+  /** The service that the `model` of a chat completion request selects. */
   serviceOfModel(model: string): Service | undefined {
     return this.#models.get(model);
   }
@@ -73,9 +78,9 @@
   }
 
   /**
-   * The longest configured route that matches; an exact path goes before a
-   * prefix. A call that no route names is idempotent only if its method is safe.
-   * `path` is without the query.
+   * Settings of the longest route that matches; an exact path takes precedence
+   * over a prefix. A call without a matching route counts as idempotent only if
+   * its method is safe. `path` has no query string.
    */
   matchRoute(service: Service, method: string, path: string): RouteTreatment {
     if (service.kind === "model") {
@@ -91,8 +96,9 @@
   }
 
   /**
-   * The tier that a request is served in. The one that its route or service
-   * gives is always allowed; another must be among its organisation's.
+   * The tier that a request is served in. The default tier of its route or
+   * service is always allowed; any other must be among the tiers of its
+   * organisation.
    */
   resolveTier(
     options: {
@@ -112,14 +118,18 @@
       : Result.err("tier_not_allowed");
   }
 
-  /** The version that gets the service's traffic while no move says otherwise. */
+  /**
+   * The version that gets the service's traffic, except for what a move shifts.
+   */
   liveVersion(service: string): Version | undefined {
     return this.objects.versions.find((version) =>
       version.service === service && version.live
     );
   }
 
-  /** The service's move whose deadline lies after `now` (milliseconds). */
+  /**
+   * The service's move whose deadline is after `now` (milliseconds since 1970).
+   */
   unfinishedMove(service: string, now: number): Move | undefined {
     return this.objects.moves.find((move) =>
       move.service === service && Date.parse(move.deadline) > now
--- a/packages/configuration/src/diff_objects.ts
+++ b/packages/configuration/src/diff_objects.ts
@@ -1,22 +1,22 @@
-/** What differs between two sets, object by object. @module */
+/** Compares two configurations object by object. @module */
 import { isDeepStrictEqual } from "node:util";
 import { KINDS, objectIdentity } from "./kinds.ts";
 import type { NamedObject } from "./kinds.ts";
 import type { ConfigurationObjects } from "./objects.ts";
 
-/** A field of a changed object. */
+/** A changed field; an absent value is `undefined`. */
 export type FieldChange = { field: string; before: unknown; after: unknown };
 
 /** An object that was added, removed or changed. */
 export type ObjectChange = {
-  /** Such as `services/assistant`. */
+  /** Identity such as `services/assistant`. */
   object: string;
   change: "added" | "removed" | "changed";
-  /** Empty unless changed. */
+  /** Empty unless the object was changed. */
   fields: FieldChange[];
 };
 
-/** The changes from `before` to `after`; the order of objects means nothing. */
+/** The changes from `before` to `after`; the order of objects is ignored. */
 export function diffObjects(
   before: ConfigurationObjects,
   after: ConfigurationObjects,
--- a/packages/configuration/src/kinds.ts
+++ b/packages/configuration/src/kinds.ts
@@ -1,10 +1,14 @@
-/** Naming objects across kinds: `services/assistant`, `versions/assistant/v2`. @module */
+/**
+ * Kinds of configuration objects, and the identity of an object across kinds,
+ * such as `services/assistant` or `versions/assistant/v2`.
+ * @module
+ */
 import type { ConfigurationObjects } from "./objects.ts";
 
-/** A list of the set. */
+/** Name of a list in {@link ConfigurationObjects}. */
 export type Kind = keyof ConfigurationObjects;
 
-/** Every kind, in the order in which they are shown. */
+/** Every kind, in the order in which they are printed. */
 export const KINDS: readonly Kind[] = [
   "services",
   "tiers",
@@ -13,10 +17,13 @@
   "moves",
 ];
 
-/** An object of any kind. */
+/** A configuration object of any kind. */
 export type NamedObject = ConfigurationObjects[Kind][number];
 
-/** The one name of an object within the set; a version's includes its service. */
+/**
+ * Name of an object that is unique over all kinds. Versions of two services may
+ * have the same name, so a version's identity includes its service.
+ */
 export function objectIdentity(kind: Kind, object: NamedObject): string {
   return kind === "versions" && "service" in object
     ? `${kind}/${object.service}/${object.name}`
--- a/packages/configuration/src/manifest.ts
+++ b/packages/configuration/src/manifest.ts
@@ -1,6 +1,7 @@
 /**
- * The one value in the platform's service that holds the published set. Large
- * sets are compressed, since a value may have 1 MiB at most.
+ * Encodes the manifest: the value in the key-value service that holds the
+ * published configuration and its history. Large configurations are compressed,
+ * since the service limits a value to 1 MiB.
  * @module
  */
 import { gunzipSync, gzipSync } from "node:zlib";
@@ -9,12 +10,16 @@
 import { parseObjects } from "./parse_objects.ts";
 import type { Publication, Snapshot } from "./snapshot.ts";
 
-/** Key of the manifest in the platform's service. */
+/** Key of the manifest in the key-value service. */
 export const MANIFEST_KEY = "configuration/manifest";
 
+/** Longest source that is stored uncompressed. */
 const PLAIN_TEXT_BYTES = 64 * 1024;
+/** Longest source that is decompressed. */
 const MAXIMUM_SOURCE_BYTES = 16 * 1024 * 1024;
+/** Number of publications that are kept. */
 const HISTORY_LENGTH = 32;
+/** Number of changed objects that are kept for each publication. */
 const CHANGES_LENGTH = 50;
 
 const count = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
@@ -32,7 +37,7 @@
   source: v.string(),
 });
 
-/** The value to store: the operator's file and the publications up to it. */
+/** Encodes the operator's file and the history of publications, latest last. */
 export function encodeManifest(
   options: { history: Publication[]; source: string },
 ): string {
@@ -52,12 +57,12 @@
   });
 }
 
-/** Reads a stored value; the error says what is wrong with it. */
+/** Decodes a stored value; the error describes why it can't be read. */
 export function decodeManifest(text: string): Result<Snapshot, string> {
   const manifest = parseManifest(text);
   const latest = manifest?.history.at(-1);
   if (manifest === undefined || latest === undefined) {
-    return Result.err("the value is no manifest");
+    return Result.err("the value is not a manifest");
   }
   const source = sourceOf(manifest);
   if (source === undefined) {
@@ -79,7 +84,7 @@
   });
 }
 
-/** The operator's file, comments included, out of a snapshot. */
+/** The operator's file as it was published, with its comments. */
 export function publishedSource(snapshot: Snapshot): string {
   const manifest = parseManifest(snapshot.text);
   return (manifest && sourceOf(manifest)) ?? "";
--- a/packages/configuration/src/mod.ts
+++ b/packages/configuration/src/mod.ts
@@ -1,4 +1,7 @@
-/** The named objects, their check and the published set. @module */
+/**
+ * Configuration objects: reading, checking, publishing and following them.
+ * @module
+ */
 export * from "./objects.ts";
 export { KINDS, objectIdentity } from "./kinds.ts";
 export type { Kind, NamedObject } from "./kinds.ts";
--- a/packages/configuration/src/objects.ts
+++ b/packages/configuration/src/objects.ts
@@ -1,6 +1,6 @@
 /**
- * The named objects that operators edit. They refer to one another by name.
- * Durations are milliseconds, sizes bytes.
+ * Schemas of the configuration objects that operators edit. Objects refer to
+ * one another by name. Durations are in milliseconds, sizes in bytes.
  * @module
  */
 import * as v from "valibot";
@@ -12,30 +12,31 @@
 const positive = v.pipe(v.number(), v.safeInteger(), v.minValue(1));
 const duration = positive;
 
-/** A class of urgency. Rank 0 is served first and shed last. */
+/** A priority class of requests. Rank 0 is served first and shed last. */
 export const tierSchema = v.strictObject({
   name,
   rank: v.pipe(v.number(), v.safeInteger(), v.minValue(0)),
-  /** Deadline of a request that states none. */
+  /** Deadline of a request that states none, from its arrival. */
   defaultDeadline: duration,
-  /** Time to first token that counts as good for this tier. */
+  /** Longest time to first token that counts as good in this tier. */
   firstTokenGoal: v.optional(duration),
 });
-/** See {@link tierSchema}. */
 export type Tier = v.InferOutput<typeof tierSchema>;
 
-/** A call of a plain service and whether it may be repeated. */
+/** A kind of call to a plain service, and whether it may be retried. */
 export const routeSchema = v.strictObject({
   method: v.picklist(["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"]),
-  /** Exact path, or a prefix when it ends in "*". */
+  /** Exact path, or a path prefix if it ends in "*". */
   path: v.pipe(v.string(), v.startsWith("/")),
   idempotent: v.boolean(),
   tier: v.optional(name),
 });
-/** See {@link routeSchema}. */
 export type Route = v.InferOutput<typeof routeSchema>;
 
-/** What one service may hold at each entry and sidecar. */
+/**
+ * Limits on the bodies, responses and waiting requests of one service, for each
+ * entry and sidecar.
+ */
 export const boundsSchema = v.strictObject({
   bodyBytes: v.optional(positive, 1024 * 1024),
   answerBytes: v.optional(positive, 16 * 1024 * 1024),
@@ -43,48 +44,48 @@
   waitingBytesAtEntry: v.optional(positive, 64 * 1024 * 1024),
   waitingAtSidecar: v.optional(positive, 2000),
 });
-/** See {@link boundsSchema}. */
 export type Bounds = v.InferOutput<typeof boundsSchema>;
 
-/** Something callers ask for, run by backend servers of one kind. */
+/**
+ * A service that callers send requests to, run by backend servers of one kind.
+ */
 export const serviceSchema = v.strictObject({
   name,
   kind: v.picklist(["model", "plain"]),
-  /** Values of a chat completion's `model` that mean this service. */
+  /**
+   * Values of `model` in a chat completion request that select this service.
+   */
   models: v.optional(v.array(v.string()), []),
   defaultTier: name,
   routes: v.optional(v.array(routeSchema), []),
   bounds: v.optional(boundsSchema, {}),
-  /** Requests a plain backend server may run at once, before measurement. */
+  /** Concurrency limit of a plain backend server until it has been measured. */
   initialConcurrency: v.optional(positive, 4),
-  /** How long the outcome of a non-idempotent request is kept for resends. */
+  /** How long the outcome of a non-idempotent request is kept for retries. */
   idempotencyRetention: v.optional(duration, 24 * 60 * 60 * 1000),
 });
-/** See {@link serviceSchema}. */
 export type Service = v.InferOutput<typeof serviceSchema>;
 
-/** A customer; its requests are served fairly beside the others'. */
+/** A customer. Requests are scheduled fairly between organisations. */
 export const organisationSchema = v.strictObject({
   name,
-  /** SHA-256 of each bearer token, in hexadecimal. */
+  /** SHA-256 hashes of its bearer tokens, in hexadecimal. */
   credentials: v.array(v.pipe(v.string(), v.regex(/^[0-9a-f]{64}$/))),
   services: v.array(name),
-  /** Tiers that its callers may ask for. */
+  /** Tiers that its callers may request. */
   tiers: v.array(name),
-  /** Share beside other organisations of the same tier. */
+  /** Weight in the fair scheduling between the organisations of a tier. */
   weight: v.optional(v.pipe(v.number(), v.minValue(0.001)), 1),
 });
-/** See {@link organisationSchema}. */
 export type Organisation = v.InferOutput<typeof organisationSchema>;
 
 /** One release of a service's backend servers. */
 export const versionSchema = v.strictObject({
   name,
   service: name,
-  /** Receives the service's traffic while no move says otherwise. */
+  /** Receives the service's traffic, except for what a move shifts away. */
   live: v.optional(v.boolean(), false),
 });
-/** See {@link versionSchema}. */
 export type Version = v.InferOutput<typeof versionSchema>;
 
 /** Shifts a service's traffic from one version to another by a deadline. */
@@ -93,20 +94,22 @@
   service: name,
   from: name,
   to: name,
-  /** RFC 3339 instant by which the move is complete or taken back. */
+  /** RFC 3339 instant by which the move is completed or rolled back. */
   deadline: v.pipe(v.string(), v.isoTimestamp()),
-  /** Largest share of traffic the new version gets before it is judged good. */
+  /**
+   * Largest fraction of the traffic for the new version until it is judged
+   * good.
+   */
   trialShare: v.optional(
     v.pipe(v.number(), v.minValue(0.001), v.maxValue(0.5)),
     0.02,
   ),
-  /** Most requests it gets before it is judged good. */
+  /** Largest number of requests for the new version until it is judged good. */
   trialRequests: v.optional(positive, 200),
 });
-/** See {@link moveSchema}. */
 export type Move = v.InferOutput<typeof moveSchema>;
 
-/** The whole set, as an operator's file holds it. */
+/** The whole configuration, as in an operator's file. */
 export const objectsSchema = v.strictObject({
   services: v.optional(v.array(serviceSchema), []),
   tiers: v.optional(v.array(tierSchema), []),
@@ -114,10 +117,9 @@
   versions: v.optional(v.array(versionSchema), []),
   moves: v.optional(v.array(moveSchema), []),
 });
-/** See {@link objectsSchema}. */
 export type ConfigurationObjects = v.InferOutput<typeof objectsSchema>;
 
-/** What is published before the first set. */
+/** The empty configuration, in force until the first publish. */
 export const NO_OBJECTS: ConfigurationObjects = {
   services: [],
   tiers: [],
--- a/packages/configuration/src/parse_objects.ts
+++ b/packages/configuration/src/parse_objects.ts
@@ -1,6 +1,7 @@
 /**
- * Reads a set that was checked before it was published: without lines, and in a
- * fraction of the time, since it holds up the event loop of every process.
+ * Parses a published configuration. It was checked before it was published, so
+ * no line numbers are needed. Parsing blocks the event loop of every process,
+ * and without line numbers it takes a fraction of the time of `readObjects`.
  * @module
  */
 import { parse } from "jsonc-parser";
@@ -10,7 +11,7 @@
 import { objectsSchema } from "./objects.ts";
 import type { ConfigurationObjects } from "./objects.ts";
 
-/** The error says what is wrong first. */
+/** Parses a configuration; the error describes the first problem only. */
 export function parseObjects(
   text: string,
 ): Result<ConfigurationObjects, string> {
@@ -24,7 +25,7 @@
   return Result.err(`${path ?? "the text"}: ${issue.message}`);
 }
 
-/** Ten times as fast, but only for a file without comments. */
+/** Ten times as fast as the JSONC parser, but rejects comments. */
 function parsePlain(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/packages/configuration/src/poll_schedule.ts
+++ b/packages/configuration/src/poll_schedule.ts
@@ -1,39 +1,55 @@
 /**
- * When a process asks the platform's service for a newer configuration.
+ * When a process reads the key-value service for a newer configuration.
  *
- * Load pattern: every process of the fleet asks, for ever. In a small fleet each
- * holds a watch, so that a publish is in force within milliseconds. In a large
- * one a publish would wake all watchers at once, and each would fetch the whole
- * set in the same instant; there the reads are spaced by the fleet's size and
- * spread by jitter, and peers hand newer sets on between them.
+ * Every process of the fleet does this all the time. In a small fleet each
+ * process holds a watch, so that a publish is in force within milliseconds. In
+ * a large fleet a publish would wake all watches at once, and every process
+ * would fetch the whole configuration at the same time. There, processes poll
+ * instead, at an interval that grows with the size of the fleet and has jitter,
+ * and between polls they receive newer configurations from their peers.
  * @module
  */
 
-/** Largest fleet in which everybody watches. */
+/** Size of the largest fleet, in processes, in which every process watches. */
 const WATCHING_FLEET = 50;
 /**
- * With a call's timeout and a backoff below the 12 s in which a publish must be
- * in force: an outage of the service may swallow a watch.
+ * Longest wait of a watch, in milliseconds. A publish must be in force within
+ * 12 s. As an outage of the service can leave a watch without a response, this
+ * wait, the timeout of a call and one backoff together stay below that.
  */
 const WATCH_DURATION = 7000;
-/** Share of the service's two thousand reads a second given to these polls. */
+/**
+ * Polls per second of the whole fleet; a fraction of the 2,000 reads per second
+ * that the service allows.
+ */
 const POLLS_PER_SECOND = 150;
+/** Shortest time between two polls, in milliseconds. */
 const SHORTEST_INTERVAL = 1000;
-/** Below the 12 s in which a publish must be in force, jitter included. */
+/**
+ * Longest time between two polls, in milliseconds. With jitter it stays below
+ * the 12 s within which a publish must be in force.
+ */
 const LONGEST_INTERVAL = 9000;
+/** Longest backoff after failed calls, in milliseconds. */
 const LONGEST_BACKOFF = 15_000;
+/** Largest deviation from the poll interval, as a fraction of it. */
 const JITTER = 0.25;
-/** Between two watches, lest a service that answers at once is called in a loop. */
+/**
+ * Milliseconds between two watches. Without the pause, a service that responds
+ * at once would be called in a tight loop.
+ */
 const PAUSE_BETWEEN_WATCHES = 100;
 
-/** Milliseconds a call may wait at the service; 0 for a plain read. */
+/**
+ * How long a watch may wait at the service, in milliseconds; 0 is a plain read.
+ */
 export function watchDuration(fleetSize: number): number {
   return fleetSize <= WATCHING_FLEET ? WATCH_DURATION : 0;
 }
 
 /**
- * Milliseconds until the next call. `failures` counts the calls in a row that
- * failed; `random` is within 0 and 1.
+ * Milliseconds until the next call. `failures` is the number of consecutive
+ * failed calls; `random` is a number from 0 to 1.
  */
 export function pollDelay(
   options: { fleetSize: number; failures: number; random: number },
--- a/packages/configuration/src/problem.ts
+++ b/packages/configuration/src/problem.ts
@@ -1,23 +1,31 @@
-/** What is wrong with an operator's set of objects, and how to mend it. @module */
+/**
+ * Problems in an operator's configuration, each with a suggested fix.
+ * @module
+ */
 
-/** Where a value stands in the set, such as `["services", 0, "defaultTier"]`. */
+/**
+ * Path of a value in the configuration, such as `["services", 0,
+ * "defaultTier"]`.
+ */
 export type ObjectPath = readonly (string | number)[];
 
-/** One mistake. */
+/** One problem in a configuration. */
 export type Problem = {
   file: string;
-  /** Counted from 1; absent when the set came from no file. */
+  /**
+   * Line number from 1; absent if the configuration was not read from a file.
+   */
   line?: number;
-  /** Such as `services/assistant`; empty for the file as a whole. */
+  /** Identity such as `services/assistant`; empty for the file as a whole. */
   object: string;
-  /** Such as `routes[0].path`; empty for the object as a whole. */
+  /** Field such as `routes[0].path`; empty for the object as a whole. */
   field: string;
   detail: string;
-  /** What the operator can do. */
+  /** How the operator can fix it. */
   mend: string;
 };
 
-/** One line for people. */
+/** Formats a problem as one line of text. */
 export function describeProblem(problem: Problem): string {
   const place = problem.line === undefined
     ? problem.file
@@ -27,7 +35,7 @@
     .join(": ");
 }
 
-/** `["routes", 0, "path"]` as `routes[0].path`. */
+/** Formats a path, for instance `["routes", 0, "path"]` as `routes[0].path`. */
 export function fieldName(path: ObjectPath): string {
   return path.map((part, index) => {
     if (typeof part === "number") {
--- a/packages/configuration/src/publish.ts
+++ b/packages/configuration/src/publish.ts
@@ -1,4 +1,7 @@
-/** Publishing a set by one compare-and-swap. @module */
+/**
+ * Publishes a configuration by one compare-and-swap of the manifest.
+ * @module
+ */
 import { setTimeout as sleep } from "node:timers/promises";
 import { Result } from "true-myth/result";
 import type {
@@ -20,31 +23,36 @@
 import type { Snapshot } from "./snapshot.ts";
 import type { Source } from "./source.ts";
 
+/** Number of times that a write is tried. */
 const ATTEMPTS = 5;
+/**
+ * Pause after the first attempt, in milliseconds; grows by as much each time.
+ */
 const PAUSE_BETWEEN_ATTEMPTS = 300;
 
-/** What to publish and on what it is based. */
+/** Options of {@link publish}. */
 export type PublishOptions = {
   store: KeyValueStore;
   objects: ConfigurationObjects;
-  /** The operator's file; gives problems their lines. */
+  /** The file that `objects` were read from; used for the lines of problems. */
   source?: Source;
-  /** What to publish word for word; by default the operator's file. */
+  /** Text to publish; by default the text of `source`. */
   text?: string;
-  /** Revision that the operator edited; 0 for the first set. */
+  /** Revision that the operator edited; 0 for the first publish. */
   baseRevision: number;
-  /** Unique to this publish; keep it when trying again. */
+  /** Unique id of this publish; a retry uses the same one. */
   publishId: string;
-  /** Who publishes, for others to read. */
+  /** Name of the publisher, shown to others in a conflict. */
   publishedBy?: string;
   /** Milliseconds since 1970. */
   now: number;
+  /** Key of the manifest; by default {@link MANIFEST_KEY}. */
   key?: string;
-  /** Waits between attempts, in milliseconds. */
+  /** Waits for `duration` milliseconds between attempts; replaced in tests. */
   pause?: (duration: number) => Promise<void>;
 };
 
-/** The snapshot that is published now; `unchanged` when it already was. */
+/** The published snapshot; `unchanged` if it was published before this call. */
 export type Published = { snapshot: Snapshot; unchanged: boolean };
 
 type Current = {
@@ -52,7 +60,10 @@
   snapshot: Snapshot | undefined;
 };
 
-/** Checks the whole set and publishes it if nobody published since the base. */
+/**
+ * Checks the whole configuration and publishes it, unless somebody else
+ * published after the base revision.
+ */
 export async function publish(
   options: PublishOptions,
 ): Promise<Result<Published, PublishError>> {
@@ -80,7 +91,10 @@
   return swap(options, current, nextManifest(options, current.snapshot));
 }
 
-/** Reads the published set; `snapshot` is absent before the first publish. */
+/**
+ * Reads the published configuration; `snapshot` is absent before the first
+ * publish.
+ */
 export async function readPublished(
   store: KeyValueStore,
   key = MANIFEST_KEY,
@@ -99,11 +113,12 @@
 }
 
 /**
- * The next revision: above the base, and at least the time in milliseconds. A
- * plain counter would repeat revisions after the service was restored to an
- * older state, and processes that still hold the lost ones would refuse the new
- * set. Publishers' clocks may differ by as much as passes between the last lost
- * publish and the first one after the restore.
+ * The next revision: higher than the base, and at least the current time in
+ * milliseconds. A plain counter would assign the same revisions again after the
+ * key-value service was restored to an older state, and processes that still
+ * have a lost configuration in force would reject the new one. Clocks of
+ * publishers may differ by at most the time between the last lost publish and
+ * the first publish after the restore.
  */
 export function nextRevision(baseRevision: number, now: number): number {
   return Math.max(baseRevision + 1, Math.floor(now));
@@ -167,10 +182,12 @@
 }
 
 /**
- * A lost answer may hide a write that took effect, or one that is still under
- * way and lands after a read. Sending the same swap again settles it: both name
- * the same expected revision, so at most one of them takes effect, and the
- * refused one brings back the value with the publish id of whoever won.
+ * Writes the manifest, and repeats the write if its outcome is unknown. A write
+ * whose response was lost may have taken effect, or may still be under way and
+ * take effect after a read. Repeating the same compare-and-swap resolves this:
+ * all attempts expect the same revision, so at most one takes effect, and a
+ * rejected one returns the current value with the publish id of the write that
+ * succeeded.
  */
 async function swap(
   options: PublishOptions,
@@ -203,7 +220,10 @@
   });
 }
 
-/** Whether the value now in the store is, or came after, this publish. */
+/**
+ * The result of a publish after which the key-value service holds `value`: a
+ * success if its history contains the publish, otherwise a conflict.
+ */
 function published(
   value: string | undefined,
   options: PublishOptions,
--- a/packages/configuration/src/publish_error.ts
+++ b/packages/configuration/src/publish_error.ts
@@ -1,25 +1,31 @@
-/** Why a set was not published, or may not have been. @module */
+/** Why a configuration was not published, or possibly was not. @module */
 import type { PlatformError } from "@sycamorepulley/store";
 import type { ObjectChange } from "./diff_objects.ts";
 import type { Problem } from "./problem.ts";
 import type { Publication } from "./snapshot.ts";
 
-/** Somebody published since the base was read. */
+/** Somebody else published after the base revision. */
 export type PublishConflict = {
   kind: "conflict";
   baseRevision: number;
   currentRevision: number;
-  /** Publications after the base, oldest first, as far as they are kept. */
+  /**
+   * Publications after the base, oldest first, as far as the history is kept.
+   */
   publications: Publication[];
-  /** What publishing the offered set would have changed in the current one. */
+  /** Changes from the published configuration to the one to be published. */
   difference: ObjectChange[];
 };
 
 /**
- * `problems`: the set is inconsistent. `malformed`: the stored value is not a
- * manifest. `not_published`: certainly without effect. `unknown`: the write's
- * answer was lost and could not be resolved; publishing again with the same
- * publish id is safe.
+ * Why a publish failed:
+ * - `conflict`: somebody else published after the base revision.
+ * - `problems`: the configuration is inconsistent.
+ * - `malformed`: the stored value is not a manifest.
+ * - `not_published`: a call failed and certainly had no effect.
+ * - `unknown`: the response to the write was lost, and repeating it did not
+ *   resolve whether it took effect. Publishing again with the same publish id
+ *   is safe.
  */
 export type PublishError =
   | PublishConflict
--- a/packages/configuration/src/read_objects.ts
+++ b/packages/configuration/src/read_objects.ts
@@ -1,4 +1,8 @@
-/** Reads an operator's file: JSON with comments and trailing commas. @module */
+/**
+ * Reads an operator's configuration file (JSON with comments and trailing
+ * commas) and reports problems with their lines.
+ * @module
+ */
 import { getNodeValue, parseTree, printParseErrorCode } from "jsonc-parser";
 import type { Node, ParseError } from "jsonc-parser";
 import { Result } from "true-myth/result";
@@ -11,10 +15,12 @@
 import type { ObjectPath, Problem } from "./problem.ts";
 import { Source } from "./source.ts";
 
-/** A file whose every object has the right shape; references are not checked. */
+/**
+ * A file that matches the schema; references between objects are not checked.
+ */
 export type ReadObjects = { objects: ConfigurationObjects; source: Source };
 
-/** Parses `text`; `file` only names it in problems. */
+/** Parses `text` and validates it; `file` is the name shown in problems. */
 export function readObjects(
   text: string,
   file: string,
@@ -39,7 +45,10 @@
     : Result.ok({ objects: parsed.output, source });
 }
 
-/** Name of the object that a path leads into, from unchecked values. */
+/**
+ * Identity of the object that a path leads into, such as `tiers/urgent`; empty
+ * if it leads into none. `value` need not match the schema.
+ */
 export function objectAt(value: unknown, path: ObjectPath): string {
   const [kind, index] = path;
   if (!KINDS.includes(kind as Kind) || typeof index !== "number") {
@@ -106,8 +115,8 @@
 }
 
 /**
- * JSON lets the last of two equal fields win. A second `services` list would
- * silently remove every service of the first.
+ * Reports duplicate fields. JSON parsers keep the last one only, so a second
+ * `services` list would silently remove every service of the first.
  */
 function repeatedFields(source: Source, root: Node, value: unknown): Problem[] {
   const problems: Problem[] = [];
@@ -117,8 +126,8 @@
       line: source.lineAt(node.offset),
       object: objectAt(value, path),
       field: fieldName(path.length > 2 ? path.slice(2) : path),
-      detail: "the field stands here a second time",
-      mend: "keep one of the two, or put their contents together",
+      detail: "the field is defined a second time here",
+      mend: "keep one of the two, or merge their contents",
     });
   });
   return problems;
--- a/packages/configuration/src/snapshot.ts
+++ b/packages/configuration/src/snapshot.ts
@@ -1,37 +1,40 @@
-/** A published set as a process holds it. @module */
+/** A published configuration as a process holds it. @module */
 import type { ConfigurationObjects } from "./objects.ts";
 
-/** One publish, kept so that a conflict can say who changed what. */
+/** A past publish, kept so that a conflict can report who changed what. */
 export type Publication = {
   revision: number;
-  /** Chosen by the publisher; tells a lost answer from a lost race. */
+  /**
+   * Chosen by the publisher. Tells whether a write whose response was lost took
+   * effect, or another publish came first.
+   */
   publishId: string;
   publishedBy: string;
   /** Milliseconds since 1970, by the publisher's clock. */
   publishedAt: number;
-  /** Identities of the objects that it added, removed or changed. */
+  /** Identities of the objects that were added, removed or changed. */
   changes: string[];
 };
 
-/** A whole set with its revision. */
+/** The whole configuration at one revision. */
 export type Snapshot = {
   revision: number;
   publishId: string;
   publishedBy: string;
   /** Milliseconds since 1970, by the publisher's clock. */
   publishedAt: number;
-  /** The latest publications, this one last. */
+  /** The latest publications; the one of this snapshot is the last. */
   history: Publication[];
   objects: ConfigurationObjects;
-  /** The manifest as the store holds it, to be handed on to peers. */
+  /** The encoded manifest as stored, for sending to peers. */
   text: string;
 };
 
 /**
- * The snapshot to have in force: only a higher revision replaces the current
- * one. When the platform's service is restored to an older state, or a peer
- * answers late, a process that followed the latest word would go back to a set
- * that operators had replaced.
+ * Returns the snapshot to keep in force: `offered` only if its revision is
+ * higher. If the key-value service was restored to an older state, or a peer's
+ * message arrives late, the snapshot received last may be one that operators
+ * have replaced already.
  */
 export function adopt(
   current: Snapshot | undefined,
--- a/packages/configuration/src/source.ts
+++ b/packages/configuration/src/source.ts
@@ -1,9 +1,9 @@
-/** The text that a set of objects was read from. @module */
+/** The text of a configuration file, with the lines of its values. @module */
 import { findNodeAtLocation } from "jsonc-parser";
 import type { Node } from "jsonc-parser";
 import type { ObjectPath } from "./problem.ts";
 
-/** Finds the line of each value. */
+/** A configuration file that was read; finds the line of each value. */
 export class Source {
   readonly file: string;
   readonly text: string;
@@ -17,7 +17,7 @@
     this.#lineStarts = startsOfLines(options.text);
   }
 
-  /** Line of a character's offset, counted from 1. */
+  /** Line number, from 1, of the character at `offset`. */
   lineAt(offset: number): number {
     let low = 0;
     let high = this.#lineStarts.length;
@@ -32,7 +32,10 @@
     return low + 1;
   }
 
-  /** Line of the value at the path, or of the nearest one that holds it. */
+  /**
+   * Line number, from 1, of the value at `path` or of its nearest existing
+   * parent.
+   */
   lineOf(path: ObjectPath): number {
     for (let length = path.length; length > 0; length -= 1) {
       const node = this.#root &&
--- a/packages/configuration/test/check_objects_test.ts
+++ b/packages/configuration/test/check_objects_test.ts
@@ -2,11 +2,11 @@
 import { checkObjects, describeProblem, readObjects } from "../src/mod.ts";
 import { EXAMPLE, NOW, read } from "./example.ts";
 
-/** Problems of the example with one text put in place of another. */
+/** Problems of the example file after replacing one text by another. */
 function problemsWith(replaced: string, replacement: string): string[] {
   const text = EXAMPLE.replace(replaced, replacement);
   if (text === EXAMPLE) {
-    throw new Error(`the example holds no ${replaced}`);
+    throw new Error(`the example does not contain ${replaced}`);
   }
   const read = readObjects(text, "fleet.jsonc");
   const problems = read.isErr
@@ -21,7 +21,7 @@
   t.end();
 });
 
-t.test("a problem names file, line, object, field and mend", (t) => {
+t.test("a problem states its file, line, object, field and fix", (t) => {
   const [problem] = problemsWith('"tier": "batch"', '"tier": "bulk"');
   t.equal(
     problem,
@@ -34,64 +34,64 @@
 
 const mistakes: [name: string, replaced: string, by: string, says: RegExp][] = [
   [
-    "dangling default tier",
+    "a default tier that does not exist",
     '"defaultTier": "urgent" },',
     '"defaultTier": "x" },',
     /:8: services\/assistant: defaultTier: there is no tier "x"/,
   ],
   [
-    "dangling service",
+    "an organisation's service that does not exist",
     '"services": ["assistant",',
     '"services": ["help",',
     /organisations\/cafe: services\[0\]: there is no service "help"/,
   ],
   [
-    "dangling organisation tier",
+    "an organisation's tier that does not exist",
     '"tiers": ["batch"]',
     '"tiers": ["night"]',
     /tiers\[0\]: there is no tier "night"/,
   ],
   [
-    "dangling version",
+    "a move to a version that does not exist",
     '"to": "v2"',
     '"to": "v3"',
     /moves\/to-v2: to: there is no version .* "v3"/,
   ],
   [
-    "equal ranks",
+    "two tiers with the same rank",
     '"rank": 1',
     '"rank": 0',
     /tiers\/batch: rank: the rank is already used by tiers\/urgent/,
   ],
   [
-    "equal names",
+    "two services with the same name",
     '"name": "orders"',
     '"name": "assistant"',
     /services\/assistant: name: the name is already used/,
   ],
   [
-    "equal routes",
+    "two routes with the same method and path",
     '"/orders/search"',
     '"/orders/*"',
     /routes\[1\].path: the method with this path is already used/,
   ],
   [
-    "a GET that may not run twice",
+    "a GET route that is not idempotent",
     '"POST", "path": "/orders/*"',
     '"GET", "path": "/orders/*"',
-    /routes\[0\].idempotent: clients repeat GET/,
+    /routes\[0\].idempotent: clients retry GET/,
   ],
   [
     "a wildcard inside a path",
     '"/orders/*"',
     '"/*/orders"',
-    /routes\[0\].path: "\*" stands before the end/,
+    /routes\[0\].path: "\*" is not at the end/,
   ],
   [
     "models of a plain service",
     '"kind": "plain"',
     '"kind": "plain", "models": ["m"]',
-    /answers for no model/,
+    /models: a plain service can't have models/,
   ],
   [
     "two live versions",
@@ -112,19 +112,19 @@
     /moves\/to-v2: deadline: .* has passed/,
   ],
   [
-    "a second move",
+    "two unfinished moves of one service",
     '"moves": [',
     '"moves": [{ "name": "other", "service": "assistant", "from": "v1", "to": "v2", "deadline": "2030-01-01T02:00:00Z" },',
     /moves\/to-v2: service: move "other"/,
   ],
   [
-    "a move to itself",
+    "a move from a version to itself",
     '"to": "v2"',
     '"to": "v1"',
-    /to: the move ends at the version where it begins/,
+    /to: from and to name the same version/,
   ],
   [
-    "a move off an idle version",
+    "a move from a version that is not live",
     '"from": "v1", "to": "v2"',
     '"from": "v2", "to": "v1"',
     /from: version "v2" is not live/,
@@ -143,13 +143,13 @@
     /:5: tiers\/batch: rank: Invalid type/,
   ],
   [
-    "a repeated field",
+    "a duplicate field",
     '"versions": [',
     '"tiers": [], "versions": [',
-    /tiers: the field stands here a second time/,
+    /tiers: the field is defined a second time here/,
   ],
   [
-    "broken syntax",
+    "a syntax error",
     '"rank": 1,',
     '"rank": 1',
     /fleet.jsonc:5: not JSON with comments/,
@@ -166,7 +166,7 @@
   });
 }
 
-t.test("a shared credential names both organisations", (t) => {
+t.test("a credential of two organisations is reported with both names", (t) => {
   const { objects } = read(EXAMPLE);
   const [cafe] = objects.organisations;
   objects.organisations.push({ ...cafe!, name: "guild" });
@@ -179,7 +179,7 @@
   t.end();
 });
 
-t.test("a move that is over may stay, unchanged", (t) => {
+t.test("a published move may stay unchanged after its deadline", (t) => {
   const { objects } = read(EXAMPLE);
   const later = NOW + 24 * 3_600_000;
   t.equal(checkObjects(objects, { now: later }).length, 1);
--- a/packages/configuration/test/configuration_follower_test.ts
+++ b/packages/configuration/test/configuration_follower_test.ts
@@ -13,7 +13,7 @@
 } from "../src/mod.ts";
 import { EXAMPLE, NOW, read } from "./example.ts";
 
-/** Spaces calls instead of watching, so that a poll returns at once. */
+/** A fleet that polls instead of watching, so that a poll returns at once. */
 const LARGE_FLEET = 51;
 
 function started() {
@@ -51,7 +51,7 @@
   await store.compareAndSwap({ key: MANIFEST_KEY, expected, value });
 }
 
-t.test("adopts each newer set once", async (t) => {
+t.test("adopts each newer configuration once", async (t) => {
   const { memory, follow } = started();
   const { follower, adopted } = follow();
   await follower.poll();
@@ -64,9 +64,8 @@
   t.same(adopted, [5, 6]);
 });
 
-// A new instance starts while the platform's service is down. Its peer has a
-// set in force; without the peer it would refuse every caller for hours.
-t.test("starts from a peer during an outage", async (t) => {
+// Guards against a process started in an outage refusing callers until its end.
+t.test("takes the configuration from a peer during an outage", async (t) => {
   const { store, follow } = started();
   store.outage = true;
   const { follower } = follow();
@@ -80,10 +79,8 @@
   t.match(follower.counts, { adopted: 1, malformed: 1, failed: 2 });
 });
 
-// The service is restored from a backup of an hour ago. Operators saw revision
-// 9 accepted; processes that follow the service go back to 5, and processes
-// that start now never hear of 9.
-t.test("a restored older state is neither adopted nor kept", async (t) => {
+// Guards against losing an accepted publish when a backup is restored.
+t.test("a restored older state is not adopted, and the newer one written back", async (t) => {
   const { memory, follow } = started();
   const { follower, adopted } = follow();
   await put(memory, manifest(5));
@@ -100,10 +97,8 @@
   t.same(newcomer.adopted, [9]);
 });
 
-// As above, but an operator publishes on the restored state before any process
-// has written the newer set back. The publish was accepted, so it must come
-// into force although processes hold a set that the service has lost.
-t.test("a publish after a restore comes into force", async (t) => {
+// Guards against processes rejecting a publish based on a restored older state.
+t.test("a publish on a restored state comes into force", async (t) => {
   const { memory, store, follow } = started();
   const { follower, adopted } = follow();
   await put(memory, manifest(NOW - 2000));
@@ -124,7 +119,7 @@
   t.equal(follower.counts.restored, 0);
 });
 
-t.test("a stop does not wait for the watch under way", async (t) => {
+t.test("a stop does not wait for a running watch", async (t) => {
   const store = new MemoryKeyValueStore();
   store.watch = () => new Promise(() => {});
   const follower = new ConfigurationFollower({
@@ -139,7 +134,7 @@
   t.equal(follower.revision, 0);
 });
 
-t.test("never overwrites a set that it can't read", async (t) => {
+t.test("never overwrites a manifest that it can't read", async (t) => {
   const { memory, follow } = started();
   const { follower } = follow();
   await put(memory, manifest(5));
@@ -151,7 +146,7 @@
   t.equal(follower.revision, 5);
 });
 
-t.test("polls of a large fleet fit the service and the time in force", (t) => {
+t.test("polls of a large fleet keep to the service's budget and to 12 s", (t) => {
   const delays = [0, 1].map((random) =>
     pollDelay({ fleetSize: 930, failures: 0, random })
   );
@@ -163,8 +158,8 @@
   t.end();
 });
 
-t.test("a watch that is never answered ends within the time in force", (t) => {
-  // A call that an outage of the service swallowed must not hide a publish.
+t.test("a watch without a response delays a publish by less than 12 s", (t) => {
+  // Guards against a call that got no response in an outage hiding a publish.
   const callTimeout = 3000;
   const backoff = pollDelay({ fleetSize: 50, failures: 1, random: 1 });
   const longest = watchDuration(50) + callTimeout + backoff;
--- a/packages/configuration/test/configuration_index_test.ts
+++ b/packages/configuration/test/configuration_index_test.ts
@@ -6,7 +6,7 @@
 const orders = index.service("orders")!;
 const cafe = index.organisation("cafe")!;
 
-t.test("finds who calls and what is meant", (t) => {
+t.test("looks up organisations, services, versions and moves", (t) => {
   t.equal(index.organisationOfToken("token"), cafe);
   t.equal(index.organisationOfToken("other"), undefined);
   t.equal(index.serviceOfModel("tea-1")?.name, "assistant");
@@ -16,7 +16,7 @@
   t.end();
 });
 
-t.test("an exact route goes before a prefix", (t) => {
+t.test("an exact route takes precedence over a prefix", (t) => {
   t.match(index.matchRoute(orders, "POST", "/orders/search"), {
     idempotent: true,
     tier: "batch",
@@ -29,7 +29,7 @@
   t.end();
 });
 
-t.test("an unlisted call is idempotent only if its method is safe", (t) => {
+t.test("a call without a route is idempotent only if its method is safe", (t) => {
   t.ok(index.matchRoute(orders, "GET", "/x").idempotent);
   for (const method of ["POST", "PUT", "DELETE", "PATCH"]) {
     t.notOk(index.matchRoute(orders, method, "/x").idempotent);
@@ -37,7 +37,7 @@
   t.end();
 });
 
-t.test("an organisation gets the tiers it may ask for", (t) => {
+t.test("a request gets the default tier or an allowed one", (t) => {
   const given = "urgent";
   const tierOf = (asked?: string) =>
     index.resolveTier({
--- a/packages/configuration/test/example.ts
+++ b/packages/configuration/test/example.ts
@@ -1,4 +1,4 @@
-/** A small consistent file, shared by the tests. @module */
+/** A small valid configuration file, shared by the tests. @module */
 import { createHash } from "node:crypto";
 import { readObjects } from "../src/mod.ts";
 import type { ReadObjects } from "../src/mod.ts";
@@ -40,7 +40,7 @@
   ]
 }`;
 
-/** Reads a text that is known to be well formed. */
+/** Reads a text that must match the schema. */
 export function read(text: string): ReadObjects {
   const read = readObjects(text, "fleet.jsonc");
   if (read.isErr) {
--- a/packages/configuration/test/manifest_test.ts
+++ b/packages/configuration/test/manifest_test.ts
@@ -11,7 +11,7 @@
   changes: ["tiers/urgent"],
 };
 
-t.test("keeps the operator's text with its comments", (t) => {
+t.test("keeps the operator's file with its comments", (t) => {
   const text = encodeManifest({ history: [publication], source: EXAMPLE });
   const snapshot = decodeManifest(text).unwrapOrElse((detail) => {
     throw new Error(detail);
@@ -21,7 +21,7 @@
   t.end();
 });
 
-t.test("the target's organisations fit one value", (t) => {
+t.test("the target of 7,800 organisations fits one value", (t) => {
   const organisations = Array.from({ length: 7800 }, (_, index) => ({
     name: `organisation-${index}`,
     credentials: [hashOf(`token-${index}`)],
@@ -41,7 +41,7 @@
   t.end();
 });
 
-t.test("refuses what is no manifest", (t) => {
+t.test("refuses a value that is not a manifest", (t) => {
   const gzip = JSON.stringify({
     history: [publication],
     encoding: "gzip",
--- a/packages/configuration/test/publish_test.ts
+++ b/packages/configuration/test/publish_test.ts
@@ -28,7 +28,7 @@
   };
 }
 
-t.test("publishes, then finds nothing to change", async (t) => {
+t.test("publishing the same file again changes nothing", async (t) => {
   const store = faultyStore();
   const first = await publish(optionsFor(store));
   t.match(first, { value: { unchanged: false, snapshot: { revision: NOW } } });
@@ -38,7 +38,7 @@
   });
 });
 
-t.test("an inconsistent set is not published", async (t) => {
+t.test("an inconsistent configuration is not published", async (t) => {
   const store = faultyStore();
   const text = EXAMPLE.replace('"rank": 1', '"rank": 0');
   const outcome = await publish(optionsFor(store, { text }));
@@ -46,9 +46,8 @@
   t.equal(store.writesReceived, 0);
 });
 
-// Two operators edit the same file. Ana publishes; Bor, who read the file
-// before, publishes his copy. Without the base his copy would undo Ana's edit.
-t.test("the later of two racing operators learns who changed what", async (t) => {
+// Guards against an operator undoing an edit published since the file was read.
+t.test("a conflict reports who changed what since the base", async (t) => {
   const store = faultyStore();
   await publish(optionsFor(store));
   const raised = EXAMPLE.replace("60000", "90000");
@@ -80,9 +79,8 @@
   });
 });
 
-// The operator's connection breaks after the service took the write. Told
-// "failed", the operator would edit and publish again over an accepted set.
-t.test("a publish whose answers are lost is found published", async (t) => {
+// Guards against reporting an accepted publish as failed after a lost response.
+t.test("a publish is resolved although its responses are lost", async (t) => {
   for (
     const fault of ["lost_answer", "lost_request", "late_request"] as const
   ) {
@@ -97,7 +95,7 @@
   }
 });
 
-t.test("a lost answer behind another operator's publish is told", async (t) => {
+t.test("a publish with a lost response succeeds although another followed", async (t) => {
   const store = faultyStore();
   store.writeFaults.push("lost_answer");
   const bor = optionsFor(store, { publishId: "bor", publishedBy: "bor" });
@@ -110,7 +108,7 @@
   t.match(won, { value: { snapshot: { publishId: "bor" } } });
 });
 
-t.test("an outage says not published, endless loss says unknown", async (t) => {
+t.test("an outage gives not_published, lost requests give unknown", async (t) => {
   const store = faultyStore();
   store.outage = true;
   t.match(await publish(optionsFor(store)), {
