--- a/packages/command_line/src/commands/apply.ts
+++ b/packages/command_line/src/commands/apply.ts
@@ -3,7 +3,7 @@
 import { userInfo } from "node:os";
 import { setTimeout as sleep } from "node:timers/promises";
 import { publish, readPublished } from "@sycamorepulley/configuration";
-import type { Published } from "@sycamorepulley/configuration";
+import type { PublishResult } from "@sycamorepulley/configuration";
 import type { KeyValueStore } from "@sycamorepulley/store";
 import { baseIn, withoutBase } from "../base_revision.ts";
 import { requiredInstanceList, requiredStore } from "../context.ts";
@@ -88,7 +88,7 @@
   );
 }
 
-function publishedResult(published: Published): CommandResult {
+function publishedResult(published: PublishResult): CommandResult {
   const { snapshot, unchanged } = published;
   const { revision, publishId } = snapshot;
   const text = unchanged
@@ -103,7 +103,7 @@
 
 async function waitUntilInForce(
   context: Context,
-  published: Published,
+  published: PublishResult,
   seconds: number,
 ): Promise<CommandResult> {
   const result = publishedResult(published);
--- a/packages/command_line/src/commands/check.ts
+++ b/packages/command_line/src/commands/check.ts
@@ -6,8 +6,8 @@
 } from "@sycamorepulley/configuration";
 import type {
   ConfigurationObjects,
+  ObjectsFile,
   Problem,
-  ReadObjects,
 } from "@sycamorepulley/configuration";
 import { Result } from "true-myth/result";
 import { readText } from "../addresses.ts";
@@ -45,7 +45,7 @@
 }
 
 /** Reads an operator's file. */
-export function readFile(file: string): Result<ReadObjects, Problem[]> {
+export function readFile(file: string): Result<ObjectsFile, Problem[]> {
   return readObjects(readText(file), file);
 }
 
--- a/packages/configuration/src/check/check_moves.ts
+++ b/packages/configuration/src/check/check_moves.ts
@@ -32,15 +32,15 @@
       checkUnchanged(check, before);
       return;
     }
-    checkSource(check);
-    checkSingle(check, unfinished.get(move.service));
+    checkFromVersion(check);
+    checkNoOtherUnfinishedMove(check, unfinished.get(move.service));
     unfinished.set(move.service, move.name);
   });
 }
 
 function checkReferences(check: MoveCheck): void {
   const { move, index, objects, findings } = check;
-  findings.addDangling({
+  findings.addDanglingReference({
     path: ["moves", index, "service"],
     kind: "service",
     name: move.service,
@@ -86,7 +86,7 @@
   });
 }
 
-function checkSource(check: MoveCheck): void {
+function checkFromVersion(check: MoveCheck): void {
   const { move, index, objects, findings } = check;
   const from = objects.versions.find((version) =>
     version.service === move.service && version.name === move.from
@@ -101,7 +101,10 @@
   }
 }
 
-function checkSingle(check: MoveCheck, other: string | undefined): void {
+function checkNoOtherUnfinishedMove(
+  check: MoveCheck,
+  other: string | undefined,
+): void {
   const { move, index, findings } = check;
   if (other !== undefined) {
     findings.add({
--- a/packages/configuration/src/check/check_names.ts
+++ b/packages/configuration/src/check/check_names.ts
@@ -11,7 +11,7 @@
   findings: Findings,
 ): void {
   for (const kind of KINDS) {
-    findings.addRepeated({
+    findings.addDuplicates({
       entries: objects[kind].map((object, index) => ({
         path: [kind, index, "name"],
         key: objectIdentity(kind, object),
--- a/packages/configuration/src/check/check_objects.ts
+++ b/packages/configuration/src/check/check_objects.ts
@@ -1,7 +1,7 @@
 /** Checks a whole configuration before it is published. @module */
 import type { ConfigurationObjects } from "../objects.ts";
 import type { Problem } from "../problem.ts";
-import type { Source } from "../source.ts";
+import type { SourceFile } from "../source_file.ts";
 import { checkMoves } from "./check_moves.ts";
 import { checkNames } from "./check_names.ts";
 import { checkOrganisations } from "./check_organisations.ts";
@@ -17,7 +17,7 @@
   /**
    * The file that the objects were read from; used for the lines of problems.
    */
-  source?: Source;
+  source?: SourceFile;
   /** The published configuration; its moves that are over may stay. */
   before?: ConfigurationObjects;
 };
--- a/packages/configuration/src/check/check_organisations.ts
+++ b/packages/configuration/src/check/check_organisations.ts
@@ -15,13 +15,13 @@
   const tiers = new Set(objects.tiers.map((tier) => tier.name));
   objects.organisations.forEach((organisation, index) => {
     const path = ["organisations", index];
-    checkNamedList(findings, {
+    checkReferences(findings, {
       path: [...path, "services"],
       kind: "service",
       names: organisation.services,
       known: services,
     });
-    checkNamedList(findings, {
+    checkReferences(findings, {
       path: [...path, "tiers"],
       kind: "tier",
       names: organisation.tiers,
@@ -31,7 +31,7 @@
   checkCredentials(objects, findings);
 }
 
-function checkNamedList(
+function checkReferences(
   findings: Findings,
   options: {
     path: ObjectPath;
@@ -42,9 +42,14 @@
 ): void {
   const { path, kind, names, known } = options;
   names.forEach((name, position) => {
-    findings.addDangling({ path: [...path, position], kind, name, known });
+    findings.addDanglingReference({
+      path: [...path, position],
+      kind,
+      name,
+      known,
+    });
   });
-  findings.addRepeated({
+  findings.addDuplicates({
     entries: names.map((name, position) => ({
       path: [...path, position],
       key: name,
@@ -58,7 +63,7 @@
   objects: ConfigurationObjects,
   findings: Findings,
 ): void {
-  findings.addRepeated({
+  findings.addDuplicates({
     entries: objects.organisations.flatMap((organisation, index) =>
       organisation.credentials.map((credential, position) => ({
         path: ["organisations", index, "credentials", position],
--- a/packages/configuration/src/check/check_services.ts
+++ b/packages/configuration/src/check/check_services.ts
@@ -11,7 +11,7 @@
 ): void {
   const tiers = new Set(objects.tiers.map((tier) => tier.name));
   objects.services.forEach((service, index) => {
-    findings.addDangling({
+    findings.addDanglingReference({
       path: ["services", index, "defaultTier"],
       kind: "tier",
       name: service.defaultTier,
@@ -41,7 +41,7 @@
 }
 
 function checkModels(objects: ConfigurationObjects, findings: Findings): void {
-  findings.addRepeated({
+  findings.addDuplicates({
     entries: objects.services.flatMap((service, index) =>
       service.models.map((model, position) => ({
         path: ["services", index, "models", position],
@@ -67,7 +67,7 @@
     const path = ["services", index, "routes", position];
     checkRoute({ route, path, findings });
     if (route.tier !== undefined) {
-      findings.addDangling({
+      findings.addDanglingReference({
         path: [...path, "tier"],
         kind: "tier",
         name: route.tier,
@@ -75,7 +75,7 @@
       });
     }
   });
-  findings.addRepeated({
+  findings.addDuplicates({
     entries: service.routes.map((route, position) => ({
       path: ["services", index, "routes", position, "path"],
       key: `${route.method} ${route.path}`,
--- a/packages/configuration/src/check/check_tiers.ts
+++ b/packages/configuration/src/check/check_tiers.ts
@@ -7,7 +7,7 @@
   objects: ConfigurationObjects,
   findings: Findings,
 ): void {
-  findings.addRepeated({
+  findings.addDuplicates({
     entries: objects.tiers.map((tier, index) => ({
       path: ["tiers", index, "rank"],
       key: String(tier.rank),
--- a/packages/configuration/src/check/check_versions.ts
+++ b/packages/configuration/src/check/check_versions.ts
@@ -10,7 +10,7 @@
   const services = new Set(objects.services.map((service) => service.name));
   const live = new Map<string, string>();
   objects.versions.forEach((version, index) => {
-    findings.addDangling({
+    findings.addDanglingReference({
       path: ["versions", index, "service"],
       kind: "service",
       name: version.service,
@@ -28,10 +28,10 @@
       live.set(version.service, version.name);
     }
   });
-  checkLiveness({ objects, live, findings });
+  checkLiveVersionExists({ objects, live, findings });
 }
 
-function checkLiveness(
+function checkLiveVersionExists(
   options: {
     objects: ConfigurationObjects;
     live: Map<string, string>;
--- a/packages/configuration/src/check/findings.ts
+++ b/packages/configuration/src/check/findings.ts
@@ -3,7 +3,7 @@
 import type { ConfigurationObjects } from "../objects.ts";
 import { fieldName } from "../problem.ts";
 import type { ObjectPath, Problem } from "../problem.ts";
-import type { Source } from "../source.ts";
+import type { SourceFile } from "../source_file.ts";
 
 /**
  * A problem found by a check; its line and object are derived from the path.
@@ -14,9 +14,9 @@
 export class Findings {
   readonly problems: Problem[] = [];
   readonly #objects: ConfigurationObjects;
-  readonly #source: Source | undefined;
+  readonly #source: SourceFile | undefined;
 
-  constructor(objects: ConfigurationObjects, source: Source | undefined) {
+  constructor(objects: ConfigurationObjects, source: SourceFile | undefined) {
     this.#objects = objects;
     this.#source = source;
   }
@@ -34,7 +34,7 @@
   }
 
   /** Adds a finding if `name` is not one of the `known` names. */
-  addDangling(
+  addDanglingReference(
     options: {
       path: ObjectPath;
       kind: string;
@@ -58,7 +58,7 @@
    * Adds a finding for each entry whose key an earlier entry has. `what` is the
    * kind of value and `holder` the object that has it, as shown in the message.
    */
-  addRepeated(
+  addDuplicates(
     options: {
       entries: { path: ObjectPath; key: string; holder?: string }[];
       what: string;
--- a/packages/configuration/src/configuration_follower.ts
+++ b/packages/configuration/src/configuration_follower.ts
@@ -7,7 +7,7 @@
 } from "@sycamorepulley/store";
 import { decodeManifest, MANIFEST_KEY } from "./manifest.ts";
 import { pollDelay, watchDuration } from "./poll_schedule.ts";
-import { adopt } from "./snapshot.ts";
+import { newerSnapshot } from "./snapshot.ts";
 import type { Snapshot } from "./snapshot.ts";
 
 /**
@@ -18,9 +18,7 @@
 /** Options of {@link ConfigurationFollower}. */
 export type FollowerOptions = {
   store: KeyValueStore;
-  /**
-   * Number of processes in the fleet, as far as known; sets the poll interval.
-   */
+  /** Number of processes in the fleet, as far as known; spaces their calls. */
   fleetSize: () => number;
   /** Returns a number from 0 to 1, as `Math.random` does. */
   random: () => number;
@@ -30,7 +28,7 @@
   key?: string;
 };
 
-/** Numbers of events since the start of the process. */
+/** Numbers of events since the follower was created. */
 export type FollowerCounts = {
   /** Configurations that came into force. */
   adopted: number;
@@ -38,9 +36,7 @@
   malformed: number;
   /** Failed calls to the key-value service. */
   failed: number;
-  /**
-   * Times that this process wrote back a configuration that the service lost.
-   */
+  /** Times that it wrote back a configuration that the service had lost. */
   restored: number;
 };
 
@@ -57,14 +53,14 @@
   };
   readonly #options: FollowerOptions;
   readonly #key: string;
-  #inForce: Snapshot | undefined;
+  #activeSnapshot: Snapshot | undefined;
   /** The key-value service's revision of the key, as last read. */
-  #seenRevision = 0;
+  #keyRevision = 0;
   /**
    * Revision of the configuration in the manifest, as last read; 0 if absent.
    */
-  #storedRevision = 0;
-  #failuresInRow = 0;
+  #manifestRevision = 0;
+  #consecutiveFailures = 0;
   #lastError: PlatformError | undefined;
 
   constructor(options: FollowerOptions) {
@@ -74,12 +70,12 @@
 
   /** The configuration in force; absent until one has been received. */
   get activeSnapshot(): Snapshot | undefined {
-    return this.#inForce;
+    return this.#activeSnapshot;
   }
 
   /** Revision in force; 0 until a configuration has been received. */
   get revision(): number {
-    return this.#inForce?.revision ?? 0;
+    return this.#activeSnapshot?.revision ?? 0;
   }
 
   /** Error of the latest call; absent if it succeeded. */
@@ -87,9 +83,7 @@
     return this.#lastError;
   }
 
-  /**
-   * Handles a manifest that a peer sent; returns whether it came into force.
-   */
+  /** Handles a peer's manifest; returns whether it came into force. */
   receiveManifest(text: string): boolean {
     const offered = decodeManifest(text);
     if (offered.isErr) {
@@ -99,9 +93,7 @@
     return this.#adopt(offered.value);
   }
 
-  /**
-   * Polls until the signal aborts, and then doesn't wait for a running watch.
-   */
+  /** Polls until the signal aborts; does not wait for a running watch then. */
   async run(signal: AbortSignal): Promise<void> {
     const stopped = new Promise<void>((resolve) => {
       signal.addEventListener("abort", () => resolve(), { once: true });
@@ -110,7 +102,7 @@
       await Promise.race([this.poll(), stopped]);
       const delay = pollDelay({
         fleetSize: this.#options.fleetSize(),
-        failures: this.#failuresInRow,
+        failures: this.#consecutiveFailures,
         random: this.#options.random(),
       });
       await sleep(delay, undefined, { signal }).catch(() => {});
@@ -121,26 +113,28 @@
   async poll(): Promise<void> {
     const outcome = await this.#options.store.watch({
       key: this.#key,
-      after: this.#seenRevision,
+      after: this.#keyRevision,
       wait: watchDuration(this.#options.fleetSize()),
     });
     this.#lastError = outcome.isErr ? outcome.error : undefined;
-    this.#failuresInRow = outcome.isErr ? this.#failuresInRow + 1 : 0;
+    this.#consecutiveFailures = outcome.isErr
+      ? this.#consecutiveFailures + 1
+      : 0;
     this.counts.failed += outcome.isErr ? 1 : 0;
     if (outcome.isErr) {
       return;
     }
     if (outcome.value.changed) {
-      this.#read(outcome.value.entry);
+      this.#handleStoredEntry(outcome.value.entry);
     }
-    if (this.#storedRevision < this.revision) {
-      await this.#restore();
+    if (this.#manifestRevision < this.revision) {
+      await this.#writeBack();
     }
   }
 
-  #read(entry: KeyValueEntry | undefined): void {
-    this.#seenRevision = entry?.revision ?? 0;
-    this.#storedRevision = 0;
+  #handleStoredEntry(entry: KeyValueEntry | undefined): void {
+    this.#keyRevision = entry?.revision ?? 0;
+    this.#manifestRevision = 0;
     if (entry === undefined) {
       return;
     }
@@ -148,20 +142,20 @@
     if (stored.isErr) {
       // It may have been written by a newer release, so it must not be
       // overwritten. As the highest revision it is never considered lost.
-      this.#storedRevision = Number.MAX_SAFE_INTEGER;
+      this.#manifestRevision = Number.MAX_SAFE_INTEGER;
       this.counts.malformed += 1;
       return;
     }
-    this.#storedRevision = stored.value.revision;
+    this.#manifestRevision = stored.value.revision;
     this.#adopt(stored.value);
   }
 
   #adopt(offered: Snapshot): boolean {
-    const snapshot = adopt(this.#inForce, offered);
-    if (snapshot === this.#inForce) {
+    const snapshot = newerSnapshot(this.#activeSnapshot, offered);
+    if (snapshot === this.#activeSnapshot) {
       return false;
     }
-    this.#inForce = snapshot;
+    this.#activeSnapshot = snapshot;
     this.counts.adopted += 1;
     this.#options.onChange?.(snapshot);
     return true;
@@ -175,21 +169,25 @@
    * compare-and-swap expects the revision that was read, so that it can't undo
    * a publish made since.
    */
-  async #restore(): Promise<void> {
-    const share = EXPECTED_RESTORERS / Math.max(1, this.#options.fleetSize());
-    if (this.#inForce === undefined || this.#options.random() >= share) {
+  async #writeBack(): Promise<void> {
+    const probability = EXPECTED_RESTORERS /
+      Math.max(1, this.#options.fleetSize());
+    if (
+      this.#activeSnapshot === undefined ||
+      this.#options.random() >= probability
+    ) {
       return;
     }
-    const restored = this.#inForce;
+    const snapshot = this.#activeSnapshot;
     const outcome = await this.#options.store.compareAndSwap({
       key: this.#key,
-      expected: this.#seenRevision,
-      value: restored.text,
+      expected: this.#keyRevision,
+      value: snapshot.text,
     });
     if (outcome.isOk && outcome.value.swapped) {
       this.counts.restored += 1;
-      this.#seenRevision = outcome.value.revision;
-      this.#storedRevision = restored.revision;
+      this.#keyRevision = outcome.value.revision;
+      this.#manifestRevision = snapshot.revision;
     }
   }
 }
--- a/packages/configuration/src/configuration_index.ts
+++ b/packages/configuration/src/configuration_index.ts
@@ -18,17 +18,15 @@
 const SAFE_METHODS = new Set(["GET", "HEAD"]);
 
 /** The settings that apply to a call of a service. */
-export type RouteTreatment = {
-  /**
-   * The configured path that matched. Unlike callers' paths, limited in number.
-   */
+export type MatchedRoute = {
+  /** The configured path that matched; a bounded set, unlike callers' paths. */
   route: string;
   idempotent: boolean;
   tier: string;
 };
 
 /** Why a request can't have the tier that it asks for. */
-export type TierRefusal = "unknown_tier" | "tier_not_allowed";
+export type TierRefusalReason = "unknown_tier" | "tier_not_allowed";
 
 /** Lookup tables over one snapshot's objects, built once for each snapshot. */
 export class ConfigurationIndex {
@@ -82,7 +80,7 @@
    * over a prefix. A call without a matching route counts as idempotent only if
    * its method is safe. `path` has no query string.
    */
-  matchRoute(service: Service, method: string, path: string): RouteTreatment {
+  matchRoute(service: Service, method: string, path: string): MatchedRoute {
     if (service.kind === "model") {
       const tier = service.defaultTier;
       return { route: "chat/completions", idempotent: true, tier };
@@ -106,14 +104,14 @@
       defaultTier: string;
       requestedTier?: string;
     },
-  ): Result<Tier, TierRefusal> {
-    const { organisation, defaultTier: given, requestedTier: asked = given } =
-      options;
-    const tier = this.#tiers.get(asked);
+  ): Result<Tier, TierRefusalReason> {
+    const { organisation, defaultTier, requestedTier = defaultTier } = options;
+    const tier = this.#tiers.get(requestedTier);
     if (tier === undefined) {
       return Result.err("unknown_tier");
     }
-    return asked === given || organisation.tiers.includes(asked)
+    return requestedTier === defaultTier ||
+        organisation.tiers.includes(requestedTier)
       ? Result.ok(tier)
       : Result.err("tier_not_allowed");
   }
--- a/packages/configuration/src/manifest.ts
+++ b/packages/configuration/src/manifest.ts
@@ -14,17 +14,17 @@
 export const MANIFEST_KEY = "configuration/manifest";
 
 /** Longest source that is stored uncompressed. */
-const PLAIN_TEXT_BYTES = 64 * 1024;
+const MAX_PLAIN_SOURCE_BYTES = 64 * 1024;
 /** Longest source that is decompressed. */
-const MAXIMUM_SOURCE_BYTES = 16 * 1024 * 1024;
+const MAX_SOURCE_BYTES = 16 * 1024 * 1024;
 /** Number of publications that are kept. */
-const HISTORY_LENGTH = 32;
+const MAX_HISTORY_LENGTH = 32;
 /** Number of changed objects that are kept for each publication. */
-const CHANGES_LENGTH = 50;
+const MAX_CHANGES_LENGTH = 50;
 
-const count = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
+const nonNegativeInteger = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
 const publicationSchema = v.object({
-  revision: count,
+  revision: nonNegativeInteger,
   publishId: v.string(),
   publishedBy: v.string(),
   publishedAt: v.number(),
@@ -41,12 +41,12 @@
 export function encodeManifest(
   options: { history: Publication[]; source: string },
 ): string {
-  const history = options.history.slice(-HISTORY_LENGTH)
+  const history = options.history.slice(-MAX_HISTORY_LENGTH)
     .map((publication) => ({
       ...publication,
-      changes: publication.changes.slice(0, CHANGES_LENGTH),
+      changes: publication.changes.slice(0, MAX_CHANGES_LENGTH),
     }));
-  const plain = Buffer.byteLength(options.source) <= PLAIN_TEXT_BYTES;
+  const plain = Buffer.byteLength(options.source) <= MAX_PLAIN_SOURCE_BYTES;
   const source = plain
     ? options.source
     : gzipSync(options.source).toString("base64");
@@ -108,7 +108,7 @@
   }
   try {
     const compressed = Buffer.from(manifest.source, "base64");
-    const options = { maxOutputLength: MAXIMUM_SOURCE_BYTES };
+    const options = { maxOutputLength: MAX_SOURCE_BYTES };
     return gunzipSync(compressed, options).toString("utf8");
   } catch {
     return undefined;
--- a/packages/configuration/src/mod.ts
+++ b/packages/configuration/src/mod.ts
@@ -7,14 +7,14 @@
 export type { Kind, NamedObject } from "./kinds.ts";
 export { describeProblem } from "./problem.ts";
 export type { ObjectPath, Problem } from "./problem.ts";
-export { Source } from "./source.ts";
+export { SourceFile } from "./source_file.ts";
 export { readObjects } from "./read_objects.ts";
-export type { ReadObjects } from "./read_objects.ts";
+export type { ObjectsFile } from "./read_objects.ts";
 export { checkObjects } from "./check/check_objects.ts";
 export type { CheckOptions } from "./check/check_objects.ts";
 export { diffObjects } from "./diff_objects.ts";
 export type { FieldChange, ObjectChange } from "./diff_objects.ts";
-export { adopt } from "./snapshot.ts";
+export { newerSnapshot } from "./snapshot.ts";
 export type { Publication, Snapshot } from "./snapshot.ts";
 export {
   decodeManifest,
@@ -23,10 +23,10 @@
   publishedSource,
 } from "./manifest.ts";
 export { nextRevision, publish, readPublished } from "./publish.ts";
-export type { Published, PublishOptions } from "./publish.ts";
+export type { PublishOptions, PublishResult } from "./publish.ts";
 export type { PublishConflict, PublishError } from "./publish_error.ts";
 export { ConfigurationIndex } from "./configuration_index.ts";
-export type { RouteTreatment, TierRefusal } from "./configuration_index.ts";
+export type { MatchedRoute, TierRefusalReason } from "./configuration_index.ts";
 export { pollDelay, watchDuration } from "./poll_schedule.ts";
 export { ConfigurationFollower } from "./configuration_follower.ts";
 export type {
--- a/packages/configuration/src/objects.ts
+++ b/packages/configuration/src/objects.ts
@@ -9,8 +9,8 @@
   v.string(),
   v.regex(/^[a-z0-9][a-z0-9_.-]{0,62}$/, "use a-z, 0-9, '-', '_' and '.'"),
 );
-const positive = v.pipe(v.number(), v.safeInteger(), v.minValue(1));
-const duration = positive;
+const positiveInteger = v.pipe(v.number(), v.safeInteger(), v.minValue(1));
+const duration = positiveInteger;
 
 /** A priority class of requests. Rank 0 is served first and shed last. */
 export const tierSchema = v.strictObject({
@@ -34,15 +34,15 @@
 export type Route = v.InferOutput<typeof routeSchema>;
 
 /**
- * Limits on the bodies, responses and waiting requests of one service, for each
- * entry and sidecar.
+ * Limits on the request bodies, responses and waiting requests of one service,
+ * for each entry and sidecar.
  */
 export const boundsSchema = v.strictObject({
-  bodyBytes: v.optional(positive, 1024 * 1024),
-  answerBytes: v.optional(positive, 16 * 1024 * 1024),
-  waitingAtEntry: v.optional(positive, 2000),
-  waitingBytesAtEntry: v.optional(positive, 64 * 1024 * 1024),
-  waitingAtSidecar: v.optional(positive, 2000),
+  bodyBytes: v.optional(positiveInteger, 1024 * 1024),
+  answerBytes: v.optional(positiveInteger, 16 * 1024 * 1024),
+  waitingAtEntry: v.optional(positiveInteger, 2000),
+  waitingBytesAtEntry: v.optional(positiveInteger, 64 * 1024 * 1024),
+  waitingAtSidecar: v.optional(positiveInteger, 2000),
 });
 export type Bounds = v.InferOutput<typeof boundsSchema>;
 
@@ -60,7 +60,7 @@
   routes: v.optional(v.array(routeSchema), []),
   bounds: v.optional(boundsSchema, {}),
   /** Concurrency limit of a plain backend server until it has been measured. */
-  initialConcurrency: v.optional(positive, 4),
+  initialConcurrency: v.optional(positiveInteger, 4),
   /** How long the outcome of a non-idempotent request is kept for retries. */
   idempotencyRetention: v.optional(duration, 24 * 60 * 60 * 1000),
 });
@@ -105,7 +105,7 @@
     0.02,
   ),
   /** Largest number of requests for the new version until it is judged good. */
-  trialRequests: v.optional(positive, 200),
+  trialRequests: v.optional(positiveInteger, 200),
 });
 export type Move = v.InferOutput<typeof moveSchema>;
 
--- a/packages/configuration/src/poll_schedule.ts
+++ b/packages/configuration/src/poll_schedule.ts
@@ -11,7 +11,7 @@
  */
 
 /** Size of the largest fleet, in processes, in which every process watches. */
-const WATCHING_FLEET = 50;
+const MAX_WATCHING_FLEET_SIZE = 50;
 /**
  * Longest wait of a watch, in milliseconds. A publish must be in force within
  * 12 s. As an outage of the service can leave a watch without a response, this
@@ -24,14 +24,14 @@
  */
 const POLLS_PER_SECOND = 150;
 /** Shortest time between two polls, in milliseconds. */
-const SHORTEST_INTERVAL = 1000;
+const MIN_INTERVAL = 1000;
 /**
  * Longest time between two polls, in milliseconds. With jitter it stays below
  * the 12 s within which a publish must be in force.
  */
-const LONGEST_INTERVAL = 9000;
+const MAX_INTERVAL = 9000;
 /** Longest backoff after failed calls, in milliseconds. */
-const LONGEST_BACKOFF = 15_000;
+const MAX_BACKOFF = 15_000;
 /** Largest deviation from the poll interval, as a fraction of it. */
 const JITTER = 0.25;
 /**
@@ -44,7 +44,7 @@
  * How long a watch may wait at the service, in milliseconds; 0 is a plain read.
  */
 export function watchDuration(fleetSize: number): number {
-  return fleetSize <= WATCHING_FLEET ? WATCH_DURATION : 0;
+  return fleetSize <= MAX_WATCHING_FLEET_SIZE ? WATCH_DURATION : 0;
 }
 
 /**
@@ -58,7 +58,7 @@
   const interval = pollInterval(fleetSize);
   if (failures > 0) {
     const backoff = interval * 2 ** Math.min(failures - 1, 10);
-    return Math.min(LONGEST_BACKOFF, backoff) * (0.5 + random / 2);
+    return Math.min(MAX_BACKOFF, backoff) * (0.5 + random / 2);
   }
   return watchDuration(fleetSize) > 0
     ? PAUSE_BETWEEN_WATCHES
@@ -67,5 +67,5 @@
 
 function pollInterval(fleetSize: number): number {
   const spaced = (fleetSize / POLLS_PER_SECOND) * 1000;
-  return Math.min(LONGEST_INTERVAL, Math.max(SHORTEST_INTERVAL, spaced));
+  return Math.min(MAX_INTERVAL, Math.max(MIN_INTERVAL, spaced));
 }
--- a/packages/configuration/src/problem.ts
+++ b/packages/configuration/src/problem.ts
@@ -3,18 +3,13 @@
  * @module
  */
 
-/**
- * Path of a value in the configuration, such as `["services", 0,
- * "defaultTier"]`.
- */
+/** Path of a value, such as `["services", 0, "defaultTier"]`. */
 export type ObjectPath = readonly (string | number)[];
 
 /** One problem in a configuration. */
 export type Problem = {
   file: string;
-  /**
-   * Line number from 1; absent if the configuration was not read from a file.
-   */
+  /** Line number from 1; absent if there is no file. */
   line?: number;
   /** Identity such as `services/assistant`; empty for the file as a whole. */
   object: string;
--- a/packages/configuration/src/publish.ts
+++ b/packages/configuration/src/publish.ts
@@ -21,10 +21,10 @@
 import type { ConfigurationObjects } from "./objects.ts";
 import type { PublishError } from "./publish_error.ts";
 import type { Snapshot } from "./snapshot.ts";
-import type { Source } from "./source.ts";
+import type { SourceFile } from "./source_file.ts";
 
 /** Number of times that a write is tried. */
-const ATTEMPTS = 5;
+const MAX_ATTEMPTS = 5;
 /**
  * Pause after the first attempt, in milliseconds; grows by as much each time.
  */
@@ -35,7 +35,7 @@
   store: KeyValueStore;
   objects: ConfigurationObjects;
   /** The file that `objects` were read from; used for the lines of problems. */
-  source?: Source;
+  source?: SourceFile;
   /** Text to publish; by default the text of `source`. */
   text?: string;
   /** Revision that the operator edited; 0 for the first publish. */
@@ -53,9 +53,10 @@
 };
 
 /** The published snapshot; `unchanged` if it was published before this call. */
-export type Published = { snapshot: Snapshot; unchanged: boolean };
+export type PublishResult = { snapshot: Snapshot; unchanged: boolean };
 
-type Current = {
+/** The manifest as read; both fields are absent before the first publish. */
+type StoredConfiguration = {
   entry: KeyValueEntry | undefined;
   snapshot: Snapshot | undefined;
 };
@@ -66,15 +67,15 @@
  */
 export async function publish(
   options: PublishOptions,
-): Promise<Result<Published, PublishError>> {
+): Promise<Result<PublishResult, PublishError>> {
   const read = await readPublished(options.store, options.key);
   if (read.isErr) {
     return Result.err(read.error);
   }
   const current = read.value;
-  const settled = settledAlready(options, current.snapshot);
-  if (settled !== undefined) {
-    return settled;
+  const earlyResult = resultWithoutWrite(options, current.snapshot);
+  if (earlyResult !== undefined) {
+    return earlyResult;
   }
   const problems = checkObjects(options.objects, {
     now: options.now,
@@ -84,11 +85,15 @@
   if (problems.length > 0) {
     return Result.err({ kind: "problems", problems });
   }
-  const source = sourceText(options);
+  const source = textToPublish(options);
   if (current.snapshot && publishedSource(current.snapshot) === source) {
     return Result.ok({ snapshot: current.snapshot, unchanged: true });
   }
-  return swap(options, current, nextManifest(options, current.snapshot));
+  return writeManifest(
+    options,
+    current,
+    createManifest(options, current.snapshot),
+  );
 }
 
 /**
@@ -98,7 +103,7 @@
 export async function readPublished(
   store: KeyValueStore,
   key = MANIFEST_KEY,
-): Promise<Result<Current, PublishError>> {
+): Promise<Result<StoredConfiguration, PublishError>> {
   const entry = await store.get(key);
   if (entry.isErr) {
     return Result.err({ kind: "not_published", error: entry.error });
@@ -116,24 +121,24 @@
  * The next revision: higher than the base, and at least the current time in
  * milliseconds. A plain counter would assign the same revisions again after the
  * key-value service was restored to an older state, and processes that still
- * have a lost configuration in force would reject the new one. Clocks of
- * publishers may differ by at most the time between the last lost publish and
- * the first publish after the restore.
+ * have a lost configuration in force would reject the new one. This holds if
+ * the clocks of publishers differ by at most the time between the last lost
+ * publish and the first publish after the restore.
  */
 export function nextRevision(baseRevision: number, now: number): number {
   return Math.max(baseRevision + 1, Math.floor(now));
 }
 
-function settledAlready(
+function resultWithoutWrite(
   options: PublishOptions,
   current: Snapshot | undefined,
-): Result<Published, PublishError> | undefined {
+): Result<PublishResult, PublishError> | undefined {
   if (current !== undefined && wasPublished(current, options.publishId)) {
     return Result.ok({ snapshot: current, unchanged: true });
   }
   return (current?.revision ?? 0) === options.baseRevision
     ? undefined
-    : Result.err(conflict(options, current));
+    : Result.err(createConflict(options, current));
 }
 
 function wasPublished(current: Snapshot, publishId: string): boolean {
@@ -142,7 +147,7 @@
   );
 }
 
-function conflict(
+function createConflict(
   options: PublishOptions,
   current: Snapshot | undefined,
 ): PublishError {
@@ -158,12 +163,12 @@
   };
 }
 
-function sourceText(options: PublishOptions): string {
+function textToPublish(options: PublishOptions): string {
   return options.text ?? options.source?.text ??
     JSON.stringify(options.objects, null, 2);
 }
 
-function nextManifest(
+function createManifest(
   options: PublishOptions,
   current: Snapshot | undefined,
 ): string {
@@ -177,7 +182,7 @@
   };
   return encodeManifest({
     history: [...current?.history ?? [], publication],
-    source: sourceText(options),
+    source: textToPublish(options),
   });
 }
 
@@ -189,14 +194,14 @@
  * rejected one returns the current value with the publish id of the write that
  * succeeded.
  */
-async function swap(
+async function writeManifest(
   options: PublishOptions,
-  current: Current,
+  current: StoredConfiguration,
   value: string,
-): Promise<Result<Published, PublishError>> {
+): Promise<Result<PublishResult, PublishError>> {
   const pause = options.pause ?? ((duration) => sleep(duration));
-  let doubt: PlatformError | undefined;
-  for (let attempt = 1; attempt <= ATTEMPTS; attempt += 1) {
+  let ambiguousError: PlatformError | undefined;
+  for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt += 1) {
     const outcome = await options.store.compareAndSwap({
       key: options.key ?? MANIFEST_KEY,
       expected: current.entry?.revision ?? 0,
@@ -204,18 +209,20 @@
     });
     if (outcome.isOk) {
       return outcome.value.swapped
-        ? published(value, options)
-        : published(outcome.value.current?.value, options);
+        ? resultOfStoredValue(value, options)
+        : resultOfStoredValue(outcome.value.current?.value, options);
     }
-    if (outcome.error.applied === "no" && doubt === undefined) {
+    if (outcome.error.applied === "no" && ambiguousError === undefined) {
       return Result.err({ kind: "not_published", error: outcome.error });
     }
-    doubt = outcome.error.applied === "unknown" ? outcome.error : doubt;
+    ambiguousError = outcome.error.applied === "unknown"
+      ? outcome.error
+      : ambiguousError;
     await pause(PAUSE_BETWEEN_ATTEMPTS * attempt);
   }
   return Result.err({
     kind: "unknown",
-    error: doubt as PlatformError,
+    error: ambiguousError as PlatformError,
     publishId: options.publishId,
   });
 }
@@ -224,12 +231,12 @@
  * The result of a publish after which the key-value service holds `value`: a
  * success if its history contains the publish, otherwise a conflict.
  */
-function published(
+function resultOfStoredValue(
   value: string | undefined,
   options: PublishOptions,
-): Result<Published, PublishError> {
+): Result<PublishResult, PublishError> {
   if (value === undefined) {
-    return Result.err(conflict(options, undefined));
+    return Result.err(createConflict(options, undefined));
   }
   const snapshot = decodeManifest(value);
   if (snapshot.isErr) {
@@ -237,5 +244,5 @@
   }
   return wasPublished(snapshot.value, options.publishId)
     ? Result.ok({ snapshot: snapshot.value, unchanged: false })
-    : Result.err(conflict(options, snapshot.value));
+    : Result.err(createConflict(options, snapshot.value));
 }
--- a/packages/configuration/src/read_objects.ts
+++ b/packages/configuration/src/read_objects.ts
@@ -13,35 +13,35 @@
 import type { ConfigurationObjects } from "./objects.ts";
 import { fieldName } from "./problem.ts";
 import type { ObjectPath, Problem } from "./problem.ts";
-import { Source } from "./source.ts";
+import { SourceFile } from "./source_file.ts";
 
 /**
  * A file that matches the schema; references between objects are not checked.
  */
-export type ReadObjects = { objects: ConfigurationObjects; source: Source };
+export type ObjectsFile = { objects: ConfigurationObjects; source: SourceFile };
 
 /** Parses `text` and validates it; `file` is the name shown in problems. */
 export function readObjects(
   text: string,
   file: string,
-): Result<ReadObjects, Problem[]> {
+): Result<ObjectsFile, Problem[]> {
   const errors: ParseError[] = [];
   const root = parseTree(text, errors, { allowTrailingComma: true });
-  const source = new Source({ file, text, ...(root && { root }) });
+  const source = new SourceFile({ file, text, ...(root && { root }) });
   if (root === undefined || errors.length > 0) {
     return Result.err(syntaxProblems(source, errors));
   }
   const value: unknown = getNodeValue(root);
-  const repeated = repeatedFields(source, root, value);
+  const duplicates = duplicateFields(source, root, value);
   const parsed = v.safeParse(objectsSchema, value);
   if (!parsed.success) {
-    const shape = parsed.issues.map((issue) =>
-      shapeProblem({ source, value, issue })
+    const schemaProblems = parsed.issues.map((issue) =>
+      schemaProblem({ source, value, issue })
     );
-    return Result.err([...repeated, ...shape]);
+    return Result.err([...duplicates, ...schemaProblems]);
   }
-  return repeated.length > 0
-    ? Result.err(repeated)
+  return duplicates.length > 0
+    ? Result.err(duplicates)
     : Result.ok({ objects: parsed.output, source });
 }
 
@@ -61,7 +61,7 @@
     : `${kind}[${index}]`;
 }
 
-function syntaxProblems(source: Source, errors: ParseError[]): Problem[] {
+function syntaxProblems(source: SourceFile, errors: ParseError[]): Problem[] {
   if (errors.length === 0) {
     return [{
       file: source.file,
@@ -82,9 +82,9 @@
   }));
 }
 
-function shapeProblem(
+function schemaProblem(
   options: {
-    source: Source;
+    source: SourceFile;
     value: unknown;
     issue: v.InferIssue<typeof objectsSchema>;
   },
@@ -105,10 +105,10 @@
   if (issue.type === "strict_object" && issue.received === "undefined") {
     return { ...place, detail: "missing", mend: `add "${field}"` };
   }
-  return { ...place, detail: issue.message, mend: mendOf(issue.expected) };
+  return { ...place, detail: issue.message, mend: mendFor(issue.expected) };
 }
 
-function mendOf(expected: string | null): string {
+function mendFor(expected: string | null): string {
   return expected === null
     ? "write a value as the message says"
     : `expected is ${expected}`;
@@ -118,9 +118,13 @@
  * Reports duplicate fields. JSON parsers keep the last one only, so a second
  * `services` list would silently remove every service of the first.
  */
-function repeatedFields(source: Source, root: Node, value: unknown): Problem[] {
+function duplicateFields(
+  source: SourceFile,
+  root: Node,
+  value: unknown,
+): Problem[] {
   const problems: Problem[] = [];
-  visit(root, [], (path, node) => {
+  visitDuplicates(root, [], (path, node) => {
     problems.push({
       file: source.file,
       line: source.lineAt(node.offset),
@@ -133,25 +137,25 @@
   return problems;
 }
 
-function visit(
+function visitDuplicates(
   node: Node,
   path: ObjectPath,
-  repeated: (path: ObjectPath, node: Node) => void,
+  onDuplicate: (path: ObjectPath, node: Node) => void,
 ): void {
   const seen = new Set<string>();
   node.children?.forEach((child, index) => {
     if (node.type !== "object") {
-      visit(child, [...path, index], repeated);
+      visitDuplicates(child, [...path, index], onDuplicate);
       return;
     }
     const [key, value] = child.children ?? [];
     const name = String(key?.value);
     if (seen.has(name)) {
-      repeated([...path, name], child);
+      onDuplicate([...path, name], child);
     }
     seen.add(name);
     if (value !== undefined) {
-      visit(value, [...path, name], repeated);
+      visitDuplicates(value, [...path, name], onDuplicate);
     }
   });
 }
--- a/packages/configuration/src/snapshot.ts
+++ b/packages/configuration/src/snapshot.ts
@@ -36,7 +36,7 @@
  * message arrives late, the snapshot received last may be one that operators
  * have replaced already.
  */
-export function adopt(
+export function newerSnapshot(
   current: Snapshot | undefined,
   offered: Snapshot,
 ): Snapshot {
--- a/packages/configuration/src/source.ts
+++ b/packages/configuration/src/source_file.ts
@@ -4,7 +4,7 @@
 import type { ObjectPath } from "./problem.ts";
 
 /** A configuration file that was read; finds the line of each value. */
-export class Source {
+export class SourceFile {
   readonly file: string;
   readonly text: string;
   readonly #root: Node | undefined;
@@ -14,7 +14,7 @@
     this.file = options.file;
     this.text = options.text;
     this.#root = options.root;
-    this.#lineStarts = startsOfLines(options.text);
+    this.#lineStarts = findLineStarts(options.text);
   }
 
   /** Line number, from 1, of the character at `offset`. */
@@ -48,7 +48,7 @@
   }
 }
 
-function startsOfLines(text: string): number[] {
+function findLineStarts(text: string): number[] {
   const starts = [0];
   for (let index = text.indexOf("\n"); index !== -1;) {
     starts.push(index + 1);
--- a/packages/configuration/test/check_objects_test.ts
+++ b/packages/configuration/test/check_objects_test.ts
@@ -1,6 +1,6 @@
 import t from "tap";
 import { checkObjects, describeProblem, readObjects } from "../src/mod.ts";
-import { EXAMPLE, NOW, read } from "./example.ts";
+import { EXAMPLE, NOW, readExample } from "./example.ts";
 
 /** Problems of the example file after replacing one text by another. */
 function problemsWith(replaced: string, replacement: string): string[] {
@@ -16,7 +16,7 @@
 }
 
 t.test("accepts a consistent file", (t) => {
-  const { objects, source } = read(EXAMPLE);
+  const { objects, source } = readExample(EXAMPLE);
   t.same(checkObjects(objects, { now: NOW, source }), []);
   t.end();
 });
@@ -32,7 +32,12 @@
   t.end();
 });
 
-const mistakes: [name: string, replaced: string, by: string, says: RegExp][] = [
+const invalidFiles: [
+  name: string,
+  replaced: string,
+  replacement: string,
+  pattern: RegExp,
+][] = [
   [
     "a default tier that does not exist",
     '"defaultTier": "urgent" },',
@@ -156,10 +161,10 @@
   ],
 ];
 
-for (const [name, replaced, replacement, says] of mistakes) {
+for (const [name, replaced, replacement, pattern] of invalidFiles) {
   t.test(name, (t) => {
     t.ok(
-      problemsWith(replaced, replacement).some((text) => says.test(text)),
+      problemsWith(replaced, replacement).some((text) => pattern.test(text)),
       problemsWith(replaced, replacement).join("\n"),
     );
     t.end();
@@ -167,7 +172,7 @@
 }
 
 t.test("a credential of two organisations is reported with both names", (t) => {
-  const { objects } = read(EXAMPLE);
+  const { objects } = readExample(EXAMPLE);
   const [cafe] = objects.organisations;
   objects.organisations.push({ ...cafe!, name: "guild" });
   const [problem] = checkObjects(objects, { now: NOW });
@@ -180,7 +185,7 @@
 });
 
 t.test("a published move may stay unchanged after its deadline", (t) => {
-  const { objects } = read(EXAMPLE);
+  const { objects } = readExample(EXAMPLE);
   const later = NOW + 24 * 3_600_000;
   t.equal(checkObjects(objects, { now: later }).length, 1);
   t.same(checkObjects(objects, { now: later, before: objects }), []);
--- a/packages/configuration/test/configuration_follower_test.ts
+++ b/packages/configuration/test/configuration_follower_test.ts
@@ -11,12 +11,12 @@
   publish,
   watchDuration,
 } from "../src/mod.ts";
-import { EXAMPLE, NOW, read } from "./example.ts";
+import { EXAMPLE, NOW, readExample } from "./example.ts";
 
 /** A fleet that polls instead of watching, so that a poll returns at once. */
 const LARGE_FLEET = 51;
 
-function started() {
+function createFixture() {
   const memory = new MemoryKeyValueStore();
   const store = new FaultyKeyValueStore(memory);
   const follow = () => {
@@ -32,7 +32,7 @@
   return { memory, store, follow };
 }
 
-function manifest(revision: number): string {
+function encodedManifest(revision: number): string {
   return encodeManifest({
     history: [{
       revision,
@@ -45,34 +45,34 @@
   });
 }
 
-async function put(store: MemoryKeyValueStore, value: string) {
+async function storeManifest(store: MemoryKeyValueStore, value: string) {
   const entry = (await store.get(MANIFEST_KEY)).unwrapOr(undefined);
   const expected = entry?.revision ?? 0;
   await store.compareAndSwap({ key: MANIFEST_KEY, expected, value });
 }
 
 t.test("adopts each newer configuration once", async (t) => {
-  const { memory, follow } = started();
+  const { memory, follow } = createFixture();
   const { follower, adopted } = follow();
   await follower.poll();
   t.equal(follower.revision, 0);
-  await put(memory, manifest(5));
+  await storeManifest(memory, encodedManifest(5));
   await follower.poll();
   await follower.poll();
-  await put(memory, manifest(6));
+  await storeManifest(memory, encodedManifest(6));
   await follower.poll();
   t.same(adopted, [5, 6]);
 });
 
 // Guards against a process started in an outage refusing callers until its end.
 t.test("takes the configuration from a peer during an outage", async (t) => {
-  const { store, follow } = started();
+  const { store, follow } = createFixture();
   store.outage = true;
   const { follower } = follow();
   await follower.poll();
   t.match(follower.lastError, { reason: "unreachable" });
-  t.ok(follower.receiveManifest(manifest(5)));
-  t.notOk(follower.receiveManifest(manifest(4)));
+  t.ok(follower.receiveManifest(encodedManifest(5)));
+  t.notOk(follower.receiveManifest(encodedManifest(4)));
   t.notOk(follower.receiveManifest("noise"));
   await follower.poll();
   t.equal(follower.revision, 5);
@@ -81,12 +81,12 @@
 
 // Guards against losing an accepted publish when a backup is restored.
 t.test("a restored older state is not adopted, and the newer one written back", async (t) => {
-  const { memory, follow } = started();
+  const { memory, follow } = createFixture();
   const { follower, adopted } = follow();
-  await put(memory, manifest(5));
+  await storeManifest(memory, encodedManifest(5));
   await follower.poll();
   const backup = memory.backup();
-  await put(memory, manifest(9));
+  await storeManifest(memory, encodedManifest(9));
   await follower.poll();
   memory.restore(backup);
   await follower.poll();
@@ -99,16 +99,16 @@
 
 // Guards against processes rejecting a publish based on a restored older state.
 t.test("a publish on a restored state comes into force", async (t) => {
-  const { memory, store, follow } = started();
+  const { memory, store, follow } = createFixture();
   const { follower, adopted } = follow();
-  await put(memory, manifest(NOW - 2000));
+  await storeManifest(memory, encodedManifest(NOW - 2000));
   const backup = memory.backup();
-  await put(memory, manifest(NOW - 1000));
+  await storeManifest(memory, encodedManifest(NOW - 1000));
   await follower.poll();
   memory.restore(backup);
   const published = await publish({
     store,
-    ...read(EXAMPLE.replace("60000", "90000")),
+    ...readExample(EXAMPLE.replace("60000", "90000")),
     baseRevision: NOW - 2000,
     publishId: "after",
     now: NOW,
@@ -135,11 +135,11 @@
 });
 
 t.test("never overwrites a manifest that it can't read", async (t) => {
-  const { memory, follow } = started();
+  const { memory, follow } = createFixture();
   const { follower } = follow();
-  await put(memory, manifest(5));
+  await storeManifest(memory, encodedManifest(5));
   await follower.poll();
-  await put(memory, '{"of": "a later release"}');
+  await storeManifest(memory, '{"of": "a later release"}');
   await follower.poll();
   await follower.poll();
   t.match(follower.counts, { malformed: 1, restored: 0 });
--- a/packages/configuration/test/configuration_index_test.ts
+++ b/packages/configuration/test/configuration_index_test.ts
@@ -1,8 +1,8 @@
 import t from "tap";
 import { ConfigurationIndex } from "../src/mod.ts";
-import { EXAMPLE, NOW, read } from "./example.ts";
+import { EXAMPLE, NOW, readExample } from "./example.ts";
 
-const index = new ConfigurationIndex(read(EXAMPLE).objects);
+const index = new ConfigurationIndex(readExample(EXAMPLE).objects);
 const orders = index.service("orders")!;
 const cafe = index.organisation("cafe")!;
 
--- a/packages/configuration/test/example.ts
+++ b/packages/configuration/test/example.ts
@@ -1,7 +1,7 @@
 /** A small valid configuration file, shared by the tests. @module */
 import { createHash } from "node:crypto";
 import { readObjects } from "../src/mod.ts";
-import type { ReadObjects } from "../src/mod.ts";
+import type { ObjectsFile } from "../src/mod.ts";
 
 export const NOW = Date.parse("2030-01-01T00:00:00Z");
 
@@ -41,7 +41,7 @@
 }`;
 
 /** Reads a text that must match the schema. */
-export function read(text: string): ReadObjects {
+export function readExample(text: string): ObjectsFile {
   const read = readObjects(text, "fleet.jsonc");
   if (read.isErr) {
     throw new Error(JSON.stringify(read.error));
--- a/packages/configuration/test/publish_test.ts
+++ b/packages/configuration/test/publish_test.ts
@@ -5,7 +5,7 @@
 import t from "tap";
 import { publish } from "../src/mod.ts";
 import type { PublishOptions } from "../src/mod.ts";
-import { EXAMPLE, NOW, read } from "./example.ts";
+import { EXAMPLE, NOW, readExample } from "./example.ts";
 
 function faultyStore(): FaultyKeyValueStore {
   return new FaultyKeyValueStore(new MemoryKeyValueStore());
@@ -18,7 +18,7 @@
   const { text = EXAMPLE, ...options } = changed;
   return {
     store,
-    ...read(text),
+    ...readExample(text),
     baseRevision: 0,
     publishId: "first",
     publishedBy: "ana",
@@ -99,13 +99,18 @@
   const store = faultyStore();
   store.writeFaults.push("lost_answer");
   const bor = optionsFor(store, { publishId: "bor", publishedBy: "bor" });
-  const won = await publish(optionsFor(store, {
+  const outcome = await publish(optionsFor(store, {
     pause: async () => {
       const text = EXAMPLE.replace("60000", "90000");
-      await publish({ ...bor, ...read(text), baseRevision: NOW, now: NOW + 1 });
+      await publish({
+        ...bor,
+        ...readExample(text),
+        baseRevision: NOW,
+        now: NOW + 1,
+      });
     },
   }));
-  t.match(won, { value: { snapshot: { publishId: "bor" } } });
+  t.match(outcome, { value: { snapshot: { publishId: "bor" } } });
 });
 
 t.test("an outage gives not_published, lost requests give unknown", async (t) => {
