--- a/packages/command_line/src/addresses.ts
+++ b/packages/command_line/src/addresses.ts
@@ -1,4 +1,8 @@
-/** Where the platform's services are: options, environment, settings file. @module */
+/**
+ * Finds the addresses of the platform's services in the options, the
+ * environment and the settings file.
+ * @module
+ */
 import { readFileSync } from "node:fs";
 import { parse } from "jsonc-parser";
 import type { ParseError } from "jsonc-parser";
@@ -14,10 +18,10 @@
   instances: v.optional(address),
 });
 
-/** Base addresses; absent when nothing names them. */
+/** Base URLs; absent if not configured. */
 export type Addresses = v.InferOutput<typeof addressesSchema>;
 
-/** Options go before the environment, and that before the settings file. */
+/** Options override the environment, and that overrides the settings file. */
 export function findAddresses(
   options: {
     store?: unknown;
@@ -33,7 +37,7 @@
     settings.store;
   const instances = options.instances ??
     environment["SYCAMOREPULLEY_INSTANCES"] ?? settings.instances;
-  return checked("the command line or environment", {
+  return validateAddresses("the command line or environment", {
     ...(store !== undefined && { store }),
     ...(instances !== undefined && { instances }),
   });
@@ -47,10 +51,10 @@
   if (errors.length > 0) {
     throw new UsageError(`${file} is not JSON with comments; correct it`);
   }
-  return checked(file, value);
+  return validateAddresses(file, value);
 }
 
-function checked(place: string, value: unknown): Addresses {
+function validateAddresses(place: string, value: unknown): Addresses {
   const parsed = v.safeParse(addressesSchema, value);
   if (!parsed.success) {
     const issue = parsed.issues[0];
@@ -60,7 +64,7 @@
   return parsed.output;
 }
 
-/** A file's text, or a usage error that names the file. */
+/** Reads a text file; throws a usage error that names the file if it can't. */
 export function readText(file: string): string {
   try {
     return readFileSync(file, "utf8");
--- a/packages/command_line/src/base_revision.ts
+++ b/packages/command_line/src/base_revision.ts
@@ -1,19 +1,24 @@
-/** The revision that a file was made from, kept in its first comment. @module */
+/**
+ * The revision that a file is based on, kept in a comment in its first line.
+ * @module
+ */
 
 const HEADER = /^\/\/ sycamorepulley: base revision (\d+)\n/;
 
-/** The text without a header of an earlier `get`. */
-export function withoutBase(text: string): string {
+/** Removes the comment that an earlier `get` added. */
+export function removeBaseRevision(text: string): string {
   return text.replace(HEADER, "");
 }
 
-/** The text as `get` prints it. */
-export function withBase(text: string, revision: number): string {
-  return `// sycamorepulley: base revision ${revision}\n${withoutBase(text)}`;
+/** Adds the comment with the revision, as `get` prints it. */
+export function addBaseRevision(text: string, revision: number): string {
+  return `// sycamorepulley: base revision ${revision}\n${
+    removeBaseRevision(text)
+  }`;
 }
 
-/** The revision named by the header, if there is one. */
-export function baseIn(text: string): number | undefined {
+/** The revision in the comment, if there is one. */
+export function readBaseRevision(text: string): number | undefined {
   const revision = HEADER.exec(text)?.[1];
   return revision === undefined ? undefined : Number(revision);
 }
--- a/packages/command_line/src/commands/apply.ts
+++ b/packages/command_line/src/commands/apply.ts
@@ -5,8 +5,8 @@
 import { publish, readPublished } from "@sycamorepulley/configuration";
 import type { PublishResult } from "@sycamorepulley/configuration";
 import type { KeyValueStore } from "@sycamorepulley/store";
-import { baseIn, withoutBase } from "../base_revision.ts";
-import { requiredInstanceList, requiredStore } from "../context.ts";
+import { readBaseRevision, removeBaseRevision } from "../base_revision.ts";
+import { requireInstanceList, requireStore } from "../context.ts";
 import type { Context } from "../context.ts";
 import { EXIT_CODE } from "../exit_code.ts";
 import { countInForce } from "../fleet/count_in_force.ts";
@@ -16,16 +16,20 @@
 import { platformFailure } from "../output/platform_failure.ts";
 import { problemsResult } from "../output/problems_result.ts";
 import { publishFailure } from "../output/publish_failure.ts";
-import { readFile } from "./check.ts";
+import { readObjectsFile } from "./check.ts";
 
+/** Milliseconds between two reads of the fleet while waiting. */
 const PAUSE_BETWEEN_READS = 500;
 
-/** Options of the command. */
+/** Options of {@link apply}. */
 export type ApplyOptions = {
+  /** Revision that the file is based on; by default from its first line. */
   base?: number;
+  /** Id of an earlier publish that is repeated; by default a new one. */
   publishId?: string;
+  /** Name of the publisher; by default the user's name. */
   by?: string;
-  /** Seconds to wait until the set is in force in every process. */
+  /** Longest wait for it to be in force in every process, in seconds. */
   wait?: number;
 };
 
@@ -35,16 +39,16 @@
   file: string,
   options: ApplyOptions,
 ): Promise<CommandResult> {
-  const store = requiredStore(context);
+  const store = requireStore(context);
   if (options.wait !== undefined) {
-    requiredInstanceList(context);
+    requireInstanceList(context);
   }
-  const read = readFile(file);
+  const read = readObjectsFile(file);
   if (read.isErr) {
     return problemsResult(read.error);
   }
   const { source } = read.value;
-  const base = options.base ?? baseIn(source.text) ??
+  const base = options.base ?? readBaseRevision(source.text) ??
     await baseOfFirstPublish(store, file);
   if (typeof base !== "number") {
     return base;
@@ -52,7 +56,7 @@
   const outcome = await publish({
     store,
     ...read.value,
-    text: withoutBase(source.text),
+    text: removeBaseRevision(source.text),
     baseRevision: base,
     publishId: options.publishId ?? randomUUID(),
     publishedBy: options.by ?? userInfo().username,
@@ -67,8 +71,9 @@
 }
 
 /**
- * Without a base only a first publish is safe: the current revision in its
- * place would undo whatever others published since the file was read.
+ * The base revision of a file that states none: 0 if nothing is published yet.
+ * Using the current revision instead would undo whatever others published since
+ * the file was read.
  */
 async function baseOfFirstPublish(
   store: KeyValueStore,
@@ -83,8 +88,8 @@
     return 0;
   }
   throw new UsageError(
-    `which revision was ${file} made from? State it with --base N; ` +
-      `published is ${snapshot.revision} (see diff)`,
+    `the revision that ${file} is based on is unknown: state it with ` +
+      `--base N; revision ${snapshot.revision} is published (see diff)`,
   );
 }
 
@@ -92,7 +97,7 @@
   const { snapshot, unchanged } = published;
   const { revision, publishId } = snapshot;
   const text = unchanged
-    ? `nothing to change: published is revision ${revision}`
+    ? `nothing to change: revision ${revision} is published`
     : `published revision ${revision}`;
   return {
     exitCode: EXIT_CODE.ok,
--- a/packages/command_line/src/commands/check.ts
+++ b/packages/command_line/src/commands/check.ts
@@ -1,4 +1,4 @@
-/** `check`: whether a file could be published. @module */
+/** `check`: checks whether a file could be published. @module */
 import {
   checkObjects,
   readObjects,
@@ -16,12 +16,15 @@
 import type { CommandResult } from "../output/command_result.ts";
 import { problemsResult } from "../output/problems_result.ts";
 
-/** Checks a file by itself; a reachable service adds the set in force. */
+/**
+ * Checks a file. If the key-value service is reachable, the file is also
+ * checked against the published configuration.
+ */
 export async function check(
   context: Context,
   file: string,
 ): Promise<CommandResult> {
-  const read = readFile(file);
+  const read = readObjectsFile(file);
   if (read.isErr) {
     return problemsResult(read.error);
   }
@@ -35,17 +38,17 @@
   if (problems.length > 0) {
     return problemsResult(problems);
   }
-  const counted = Object.entries(objects)
+  const counts = Object.entries(objects)
     .map(([kind, list]) => `${list.length} ${kind}`).join(", ");
   return {
     exitCode: EXIT_CODE.ok,
-    text: [`${file}: no problems (${counted})`],
+    text: [`${file}: no problems (${counts})`],
     json: { problems: [] },
   };
 }
 
-/** Reads an operator's file. */
-export function readFile(file: string): Result<ObjectsFile, Problem[]> {
+/** Reads a configuration file and validates it against the schema. */
+export function readObjectsFile(file: string): Result<ObjectsFile, Problem[]> {
   return readObjects(readText(file), file);
 }
 
--- a/packages/command_line/src/commands/diff.ts
+++ b/packages/command_line/src/commands/diff.ts
@@ -1,28 +1,28 @@
-/** `diff`: what publishing a file would change. @module */
+/** `diff`: shows what publishing a file would change. @module */
 import {
   diffObjects,
   NO_OBJECTS,
   readPublished,
 } from "@sycamorepulley/configuration";
-import { requiredStore } from "../context.ts";
+import { requireStore } from "../context.ts";
 import type { Context } from "../context.ts";
 import { EXIT_CODE } from "../exit_code.ts";
 import type { CommandResult } from "../output/command_result.ts";
 import { differenceLines } from "../output/difference_lines.ts";
 import { problemsResult } from "../output/problems_result.ts";
 import { publishFailure } from "../output/publish_failure.ts";
-import { readFile } from "./check.ts";
+import { readObjectsFile } from "./check.ts";
 
-/** Compares a file with the published set, object by object. */
+/** Compares a file with the published configuration, object by object. */
 export async function diff(
   context: Context,
   file: string,
 ): Promise<CommandResult> {
-  const read = readFile(file);
+  const read = readObjectsFile(file);
   if (read.isErr) {
     return problemsResult(read.error);
   }
-  const published = await readPublished(requiredStore(context));
+  const published = await readPublished(requireStore(context));
   if (published.isErr) {
     return publishFailure(published.error);
   }
--- a/packages/command_line/src/commands/explain.ts
+++ b/packages/command_line/src/commands/explain.ts
@@ -1,4 +1,7 @@
-/** `explain`: one request's story, from the logs of several processes. @module */
+/**
+ * `explain`: shows the log lines of one request from several processes.
+ * @module
+ */
 import { readFileSync } from "node:fs";
 import * as v from "valibot";
 import type { Context } from "../context.ts";
@@ -6,9 +9,10 @@
 import { UsageError } from "../output/command_result.ts";
 import type { CommandResult } from "../output/command_result.ts";
 
+/** File descriptor of standard input. */
 const STANDARD_INPUT = 0;
-/** Fields of a line's context that stand elsewhere in the printed story. */
-const KNOWN_FIELDS = new Set(["instance", "request", "logLevel"]);
+/** Fields of a log line's context that are not printed among the details. */
+const HIDDEN_FIELDS = new Set(["instance", "request", "logLevel"]);
 
 const lineSchema = v.object({
   context: v.looseObject({ instance: v.string() }),
@@ -16,10 +20,13 @@
   time: v.number(),
 });
 
-/** One logged event. */
+/** A log line. */
 type LogLine = v.InferOutput<typeof lineSchema>;
 
-/** Tells what the logs in `files` (standard input if none) say of a request. */
+/**
+ * Shows the lines of a request in `files`, or in standard input if none is
+ * given.
+ */
 export function explain(
   _context: Context,
   request: string,
@@ -30,16 +37,21 @@
     : files.map(readLog);
   const lines = texts.flatMap((text) => text.split("\n").flatMap(parseLine))
     .sort((one, other) => one.time - other.time);
-  return Promise.resolve(storyOf(request, lines));
+  return Promise.resolve(requestResult(request, lines));
 }
 
-function storyOf(request: string, lines: readonly LogLine[]): CommandResult {
-  const story = lines.filter(({ context }) => context["request"] === request);
-  const [first] = story;
-  const last = story.at(-1);
+function requestResult(
+  request: string,
+  lines: readonly LogLine[],
+): CommandResult {
+  const requestLines = lines.filter(({ context }) =>
+    context["request"] === request
+  );
+  const [first] = requestLines;
+  const last = requestLines.at(-1);
   if (first === undefined || last === undefined) {
-    const text = `no line tells of request ${request}`;
-    const warnings = leftOut(lines, -Infinity, Infinity);
+    const text = `no log line mentions request ${request}`;
+    const warnings = omittedLines(lines, -Infinity, Infinity);
     return {
       exitCode: EXIT_CODE.refused,
       text: [text],
@@ -47,35 +59,35 @@
       warnings,
     };
   }
-  const warnings = leftOut(lines, first.time, last.time);
+  const warnings = omittedLines(lines, first.time, last.time);
   return {
     exitCode: EXIT_CODE.ok,
-    text: story.map((line) => describe(line, first.time)),
-    json: { request, lines: story, leftOut: warnings },
+    text: requestLines.map((line) => formatLine(line, first.time)),
+    json: { request, lines: requestLines, leftOut: warnings },
     warnings,
   };
 }
 
-function describe(line: LogLine, start: number): string {
+function formatLine(line: LogLine, start: number): string {
   const { instance } = line.context;
   const details = Object.entries(line.context)
-    .filter(([name]) => !KNOWN_FIELDS.has(name))
+    .filter(([name]) => !HIDDEN_FIELDS.has(name))
     .map(([name, value]) => `${name}=${String(value)}`)
     .join(" ");
   const after = `+${line.time - start} ms`.padStart(10);
   return `${after}  ${instance}  ${line.message}  ${details}`;
 }
 
-/** What processes say that they left out of their logs around the request. */
-function leftOut(
+/** Describes lines that processes omitted from their logs around that time. */
+function omittedLines(
   lines: readonly LogLine[],
   from: number,
   to: number,
 ): string[] {
   return lines
     .filter(({ message, time }) =>
-      message === "omitted" && time >= from - SAID_LATER &&
-      time <= to + SAID_LATER
+      message === "omitted" && time >= from - OMISSION_REPORT_DELAY &&
+      time <= to + OMISSION_REPORT_DELAY
     )
     .map(({ context }) =>
       `${context.instance} left out ${String(context["lines"])} lines of ` +
@@ -83,8 +95,8 @@
     );
 }
 
-/** Milliseconds within which a process says what it left out. */
-const SAID_LATER = 3000;
+/** Milliseconds within which a process reports the lines that it omitted. */
+const OMISSION_REPORT_DELAY = 3000;
 
 function readLog(file: string): string {
   try {
@@ -94,7 +106,7 @@
   }
 }
 
-/** Lines of other programs in the same file are passed over. */
+/** Parses a log line; returns nothing for lines of other programs. */
 function parseLine(text: string): LogLine[] {
   const start = text.indexOf("{");
   if (start < 0) return [];
--- a/packages/command_line/src/commands/get.ts
+++ b/packages/command_line/src/commands/get.ts
@@ -1,4 +1,4 @@
-/** `get`: the published set, a kind of objects or one of them. @module */
+/** `get`: prints the published configuration, or objects of it. @module */
 import {
   KINDS,
   objectIdentity,
@@ -10,15 +10,17 @@
   NamedObject,
   Snapshot,
 } from "@sycamorepulley/configuration";
-import { withBase } from "../base_revision.ts";
-import { requiredStore } from "../context.ts";
+import { addBaseRevision } from "../base_revision.ts";
+import { requireStore } from "../context.ts";
 import type { Context } from "../context.ts";
 import { EXIT_CODE } from "../exit_code.ts";
 import { UsageError } from "../output/command_result.ts";
 import type { CommandResult } from "../output/command_result.ts";
 import { publishFailure } from "../output/publish_failure.ts";
 
-/** Prints what is published; the whole set is the operator's file itself. */
+/**
+ * Prints one object, the names of a kind, or the operator's file as published.
+ */
 export async function get(
   context: Context,
   kind: string | undefined,
@@ -29,25 +31,27 @@
       `there is no kind "${kind}"; ask for ${KINDS.join(", ")}`,
     );
   }
-  const published = await readPublished(requiredStore(context));
+  const published = await readPublished(requireStore(context));
   if (published.isErr) {
     return publishFailure(published.error);
   }
   const { snapshot } = published.value;
   if (snapshot === undefined) {
-    return missing("nothing is published yet; publish a file with apply");
+    return notFoundResult(
+      "nothing is published yet; publish a file with apply",
+    );
   }
   if (kind === undefined) {
-    return whole(snapshot);
+    return configurationResult(snapshot);
   }
   return name === undefined
-    ? list(snapshot, kind as Kind)
-    : one(snapshot, kind as Kind, name);
+    ? listResult(snapshot, kind as Kind)
+    : objectResult(snapshot, kind as Kind, name);
 }
 
-function whole(snapshot: Snapshot): CommandResult {
+function configurationResult(snapshot: Snapshot): CommandResult {
   const { revision, publishId, publishedBy, publishedAt, objects } = snapshot;
-  const text = withBase(publishedSource(snapshot), revision).trimEnd();
+  const text = addBaseRevision(publishedSource(snapshot), revision).trimEnd();
   return {
     exitCode: EXIT_CODE.ok,
     text: [text],
@@ -55,21 +59,27 @@
   };
 }
 
-function list(snapshot: Snapshot, kind: Kind): CommandResult {
+function listResult(snapshot: Snapshot, kind: Kind): CommandResult {
   const objects: NamedObject[] = snapshot.objects[kind];
   return {
     exitCode: EXIT_CODE.ok,
-    text: objects.map((object) => nameWithin(kind, object)),
+    text: objects.map((object) => nameWithinKind(kind, object)),
     json: { revision: snapshot.revision, [kind]: objects },
   };
 }
 
-function one(snapshot: Snapshot, kind: Kind, name: string): CommandResult {
+function objectResult(
+  snapshot: Snapshot,
+  kind: Kind,
+  name: string,
+): CommandResult {
   const objects: NamedObject[] = snapshot.objects[kind];
-  const object = objects.find((object) => nameWithin(kind, object) === name);
+  const object = objects.find((object) =>
+    nameWithinKind(kind, object) === name
+  );
   if (object === undefined) {
-    const names = objects.map((object) => nameWithin(kind, object));
-    return missing(
+    const names = objects.map((object) => nameWithinKind(kind, object));
+    return notFoundResult(
       `there is no ${kind}/${name}; there are: ${names.join(", ") || "none"}`,
     );
   }
@@ -80,11 +90,11 @@
   };
 }
 
-function nameWithin(kind: Kind, object: NamedObject): string {
+function nameWithinKind(kind: Kind, object: NamedObject): string {
   return objectIdentity(kind, object).slice(kind.length + 1);
 }
 
-function missing(detail: string): CommandResult {
+function notFoundResult(detail: string): CommandResult {
   return {
     exitCode: EXIT_CODE.refused,
     text: [],
--- a/packages/command_line/src/commands/instances.ts
+++ b/packages/command_line/src/commands/instances.ts
@@ -1,19 +1,22 @@
-/** `instances`: the platform's list as it is. @module */
-import { requiredInstanceList } from "../context.ts";
+/** `instances`: prints the platform's list of instances. @module */
+import { requireInstanceList } from "../context.ts";
 import type { Context } from "../context.ts";
 import { EXIT_CODE } from "../exit_code.ts";
-import { byName } from "../fleet/read_fleet.ts";
+import { sortByName } from "../fleet/read_fleet.ts";
 import type { CommandResult } from "../output/command_result.ts";
 import { platformFailure } from "../output/platform_failure.ts";
-import { table } from "../output/table.ts";
+import { formatTable } from "../output/table.ts";
 
-/** Asks no process; the list may lag either way. */
+/**
+ * Prints the list without asking the processes. The list may lag: it may
+ * contain processes that are gone, and lack new ones.
+ */
 export async function instances(context: Context): Promise<CommandResult> {
-  const listed = await requiredInstanceList(context).list();
+  const listed = await requireInstanceList(context).list();
   if (listed.isErr) {
     return platformFailure(listed.error);
   }
-  const sorted = byName(listed.value);
+  const sorted = sortByName(listed.value);
   const rows = sorted.map((instance) => [
     instance.name,
     instance.role,
@@ -25,7 +28,7 @@
   ]);
   return {
     exitCode: EXIT_CODE.ok,
-    text: table([
+    text: formatTable([
       [
         "INSTANCE",
         "ROLE",
--- a/packages/command_line/src/commands/moves.ts
+++ b/packages/command_line/src/commands/moves.ts
@@ -1,33 +1,39 @@
-/** `moves`: how far each move has come, as the processes state it. @module */
+/** `moves`: shows the progress of each move, as processes report it. @module */
 import type { MoveStatus } from "@sycamorepulley/store";
 import type { Context } from "../context.ts";
 import { EXIT_CODE } from "../exit_code.ts";
 import { readFleet } from "../fleet/read_fleet.ts";
 import type { CommandResult } from "../output/command_result.ts";
 import { platformFailure } from "../output/platform_failure.ts";
-import { table } from "../output/table.ts";
+import { formatTable } from "../output/table.ts";
 
+/** A move over all processes that report it. */
 type MoveSummary = {
   move: MoveStatus;
-  /** Processes in each state. */
+  /** Number of processes in each state. */
   states: Record<string, number>;
+  /** Smallest reported fraction of the traffic that the new version gets. */
   leastShare: number;
+  /** Largest reported fraction. */
   mostShare: number;
 };
 
-/** Processes may differ for seconds; the states are counted, not guessed. */
+/**
+ * Processes may report different states of a move for seconds, so the number of
+ * processes in each state is shown.
+ */
 export async function moves(context: Context): Promise<CommandResult> {
   const fleet = await readFleet(context);
   if (fleet.isErr) {
     return platformFailure(fleet.error);
   }
-  const stated = fleet.value.flatMap(({ answer }) =>
-    answer.isOk ? answer.value.moves ?? [] : []
+  const reported = fleet.value.flatMap(({ result }) =>
+    result.isOk ? result.value.moves ?? [] : []
   );
-  const summaries = summarise(stated);
+  const summaries = summarise(reported);
   return {
     exitCode: EXIT_CODE.ok,
-    text: summaries.length === 0 ? ["no process states a move"] : table([
+    text: summaries.length === 0 ? ["no process reports a move"] : formatTable([
       ["MOVE", "SERVICE", "FROM", "TO", "STATE", "SHARE", "DEADLINE", "DETAIL"],
       ...summaries.map(row),
     ]),
@@ -35,9 +41,9 @@
   };
 }
 
-function summarise(stated: MoveStatus[]): MoveSummary[] {
+function summarise(reported: MoveStatus[]): MoveSummary[] {
   const summaries = new Map<string, MoveSummary>();
-  for (const move of stated) {
+  for (const move of reported) {
     const summary = summaries.get(move.name) ??
       { move, states: {}, leastShare: 1, mostShare: 0 };
     summaries.set(move.name, summary);
--- a/packages/command_line/src/commands/refusals.ts
+++ b/packages/command_line/src/commands/refusals.ts
@@ -1,22 +1,25 @@
-/** `refusals`: why requests were refused or placed again, over the fleet. @module */
+/** `refusals`: why requests were refused or retried, over the fleet. @module */
 import type { Status } from "@sycamorepulley/store";
 import type { Context } from "../context.ts";
 import { EXIT_CODE } from "../exit_code.ts";
 import { readFleet } from "../fleet/read_fleet.ts";
 import type { CommandResult } from "../output/command_result.ts";
 import { platformFailure } from "../output/platform_failure.ts";
-import { table } from "../output/table.ts";
+import { formatTable } from "../output/table.ts";
 
 type Counters = Record<string, number>;
 
-/** Sums since each process's start; the processes' own counts are in the JSON. */
+/**
+ * Sums the counts of all entries since their start. The JSON output also has
+ * the counts of each process.
+ */
 export async function refusals(context: Context): Promise<CommandResult> {
   const fleet = await readFleet(context);
   if (fleet.isErr) {
     return platformFailure(fleet.error);
   }
-  const statuses = fleet.value.flatMap(({ answer }) =>
-    answer.isOk ? [answer.value] : []
+  const statuses = fleet.value.flatMap(({ result }) =>
+    result.isOk ? [result.value] : []
   );
   const entries = statuses.filter((status) => status.role === "entry");
   const refused = sum(entries.map((status) => status.refusals));
@@ -24,8 +27,8 @@
   return {
     exitCode: EXIT_CODE.ok,
     text: [
-      `refused and placed again since the start of ${entries.length} entries:`,
-      ...table([
+      `requests refused or retried since the start of ${entries.length} entries:`,
+      ...formatTable([
         ["KIND", "REASON", "COUNT"],
         ...rows("refusal", refused),
         ...rows("retry", retried),
--- a/packages/command_line/src/commands/status.ts
+++ b/packages/command_line/src/commands/status.ts
@@ -1,4 +1,7 @@
-/** `status`: what every process has in force and how it fares. @module */
+/**
+ * `status`: shows the revision in force and the health of every process.
+ * @module
+ */
 import { readPublished } from "@sycamorepulley/configuration";
 import type { Status } from "@sycamorepulley/store";
 import type { Context } from "../context.ts";
@@ -9,7 +12,7 @@
 import type { FleetMember } from "../fleet/read_fleet.ts";
 import type { CommandResult } from "../output/command_result.ts";
 import { platformFailure } from "../output/platform_failure.ts";
-import { formatDuration, table } from "../output/table.ts";
+import { formatDuration, formatTable } from "../output/table.ts";
 
 const HEADING = [
   "INSTANCE",
@@ -24,7 +27,10 @@
   "UP",
 ];
 
-/** Works during an outage of the key-value service too, and then says so. */
+/**
+ * Also works during an outage of the key-value service: then it compares with
+ * the newest revision of any process, and prints a warning.
+ */
 export async function status(context: Context): Promise<CommandResult> {
   const fleet = await readFleet(context);
   if (fleet.isErr) {
@@ -33,18 +39,18 @@
   const published = await publishedRevision(context);
   const newest = published ?? newestInForce(fleet.value);
   const { inForce, answered } = countInForce(fleet.value, newest);
-  const silent = fleet.value.length - answered;
+  const unreachable = fleet.value.length - answered;
   return {
     exitCode: exitCodeOf({ fleet: fleet.value, published, inForce, answered }),
     text: [
-      ...table([HEADING, ...fleet.value.map(row)]),
+      ...formatTable([HEADING, ...fleet.value.map(row)]),
       `revision ${newest} (${
         published === undefined ? "newest seen" : "published"
       }) is in force in ${inForce} of ${answered} processes that answered`,
     ],
     warnings: [
-      ...(silent > 0
-        ? [`${silent} listed processes gave no answer; the list may lag`]
+      ...(unreachable > 0
+        ? [`${unreachable} listed processes gave no answer; the list may lag`]
         : []),
       ...(published === undefined
         ? [
@@ -74,8 +80,8 @@
   if (published === undefined) {
     return EXIT_CODE.unreachable;
   }
-  const ready = fleet.every(({ answer }) =>
-    answer.isErr || answer.value.ready || answer.value.leaving
+  const ready = fleet.every(({ result }) =>
+    result.isErr || result.value.ready || result.value.leaving
   );
   return ready && inForce === answered ? EXIT_CODE.ok : EXIT_CODE.refused;
 }
@@ -93,14 +99,14 @@
 function newestInForce(fleet: FleetMember[]): number {
   return Math.max(
     0,
-    ...fleet.map(({ answer }) =>
-      answer.isOk ? answer.value.configurationRevision : 0
+    ...fleet.map(({ result }) =>
+      result.isOk ? result.value.configurationRevision : 0
     ),
   );
 }
 
-function row({ instance, answer }: FleetMember): string[] {
-  if (answer.isErr) {
+function row({ instance, result }: FleetMember): string[] {
+  if (result.isErr) {
     return [
       instance.name,
       instance.role,
@@ -108,10 +114,10 @@
       instance.service ?? "",
       instance.version ?? "",
       "?",
-      `no answer (${answer.error})`,
+      `no answer (${result.error})`,
     ];
   }
-  const status = answer.value;
+  const status = result.value;
   return [
     status.instance,
     status.role,
@@ -130,15 +136,15 @@
   if (status.leaving) {
     return "leaving";
   }
-  const sick =
+  const unavailable =
     status.servers?.filter((server) => !server.healthy || server.ejected)
       .length ?? 0;
-  const servers = sick > 0 ? `, ${sick} servers out` : "";
+  const servers = unavailable > 0 ? `, ${unavailable} servers out` : "";
   return `${status.ready ? "ready" : "not ready"}${servers}`;
 }
 
-function jsonOf({ instance, answer }: FleetMember): unknown {
-  return answer.isOk
-    ? { ...answer.value, answered: true }
-    : { instance: instance.name, answered: false, detail: answer.error };
+function jsonOf({ instance, result }: FleetMember): unknown {
+  return result.isOk
+    ? { ...result.value, answered: true }
+    : { instance: instance.name, answered: false, detail: result.error };
 }
--- a/packages/command_line/src/context.ts
+++ b/packages/command_line/src/context.ts
@@ -1,9 +1,9 @@
-/** What commands work with. @module */
+/** The services and the clock that commands use. @module */
 import type { InstanceList, KeyValueStore } from "@sycamorepulley/store";
 import { UsageError } from "./output/command_result.ts";
 import type { StatusSource } from "./fleet/status_source.ts";
 
-/** Services are absent unless their address is known. */
+/** What a command uses; services without a configured address are absent. */
 export type Context = {
   store?: KeyValueStore;
   instanceList?: InstanceList;
@@ -12,22 +12,22 @@
   now: () => number;
 };
 
-/** The key-value service, which the command can't do without. */
-export function requiredStore(context: Context): KeyValueStore {
+/** The key-value service; throws a usage error if its address is missing. */
+export function requireStore(context: Context): KeyValueStore {
   if (context.store === undefined) {
     throw new UsageError(
-      "where is the key-value service? Give --store URL, set " +
+      "the key-value service's address is missing: give --store URL, set " +
         "SYCAMOREPULLEY_STORE, or write store in the settings file",
     );
   }
   return context.store;
 }
 
-/** The instance list, which the command can't do without. */
-export function requiredInstanceList(context: Context): InstanceList {
+/** The instance list; throws a usage error if its address is missing. */
+export function requireInstanceList(context: Context): InstanceList {
   if (context.instanceList === undefined) {
     throw new UsageError(
-      "where is the instance list? Give --instances URL, set " +
+      "the instance list's address is missing: give --instances URL, set " +
         "SYCAMOREPULLEY_INSTANCES, or write instances in the settings file",
     );
   }
--- a/packages/command_line/src/exit_code.ts
+++ b/packages/command_line/src/exit_code.ts
@@ -1,15 +1,15 @@
-/** How a run of the command line ended, for scripts. @module */
+/** Exit codes of the command line. @module */
 
-/** Exit codes; documented in `--help` and docs/OPERATORS.md. */
+/** Exit codes, documented in `--help` and docs/OPERATORS.md. */
 export const EXIT_CODE = {
   ok: 0,
-  /** Problems were found, or what was asked for does not hold. */
+  /** Problems found, nothing found, or the fleet not ready and up to date. */
   refused: 1,
-  /** The command line itself was wrong; nothing was tried. */
+  /** The command line was wrong; nothing was tried. */
   usage: 2,
-  /** Somebody published since the base was read; nothing was changed. */
+  /** Somebody else published after the base revision; nothing was changed. */
   conflict: 3,
-  /** A service or process could not be reached, or an outcome is unknown. */
+  /** A service or process was unreachable, or an outcome is unknown. */
   unreachable: 4,
 } as const;
 
--- a/packages/command_line/src/fleet/count_in_force.ts
+++ b/packages/command_line/src/fleet/count_in_force.ts
@@ -1,19 +1,21 @@
-/** How far a revision has come in the fleet. @module */
+/** Counts the processes that have a revision in force. @module */
 import type { FleetMember } from "./read_fleet.ts";
 
-/** Processes that answered, and those that have at least `revision` in force. */
+/**
+ * Counts processes that responded, and those with at least `revision` in force.
+ */
 export function countInForce(
   fleet: FleetMember[],
   revision: number,
 ): { inForce: number; answered: number } {
   let inForce = 0;
   let answered = 0;
-  for (const { answer } of fleet) {
-    if (answer.isErr) {
+  for (const { result } of fleet) {
+    if (result.isErr) {
       continue;
     }
     answered += 1;
-    inForce += answer.value.configurationRevision >= revision ? 1 : 0;
+    inForce += result.value.configurationRevision >= revision ? 1 : 0;
   }
   return { inForce, answered };
 }
--- a/packages/command_line/src/fleet/status_source.ts
+++ b/packages/command_line/src/fleet/status_source.ts
@@ -1,32 +1,33 @@
-/** Asks processes for their status over HTTP. @module */
+/** Requests the status of processes over HTTP. @module */
 import { statusSchema } from "@sycamorepulley/store";
 import type { Instance, Status } from "@sycamorepulley/store";
 import { Result } from "true-myth/result";
 import { Agent, request } from "undici";
 import * as v from "valibot";
 
-const TIMEOUT = 2000;
-const MAXIMUM_ANSWER_BYTES = 4 * 1024 * 1024;
+/** Timeout for connecting, and for the whole request, in milliseconds. */
+const REQUEST_TIMEOUT = 2000;
+const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-/** One process's answer, or why there is none. */
-export type StatusAnswer = Result<Status, string>;
+/** The status of a process, or why there is none. */
+export type StatusResult = Result<Status, string>;
 
-/** Where statuses come from. */
+/** Provides the status of processes. */
 export abstract class StatusSource {
-  abstract ask(instance: Instance): Promise<StatusAnswer>;
+  abstract fetchStatus(instance: Instance): Promise<StatusResult>;
 }
 
-/** `GET /status` on the port that the instance list names. */
+/** Sends `GET /status` to the status port in the instance list. */
 export class HttpStatusSource extends StatusSource {
   #agent = new Agent({
     connections: 1,
-    maxResponseSize: MAXIMUM_ANSWER_BYTES,
-    connect: { timeout: TIMEOUT },
+    maxResponseSize: MAX_RESPONSE_BYTES,
+    connect: { timeout: REQUEST_TIMEOUT },
   });
 
-  override async ask(instance: Instance): Promise<StatusAnswer> {
+  override async fetchStatus(instance: Instance): Promise<StatusResult> {
     if (instance.statusPort === undefined) {
-      return Result.err("it lists no status port");
+      return Result.err("no status port is listed");
     }
     const host = instance.host.includes(":")
       ? `[${instance.host}]`
@@ -43,14 +44,14 @@
     return this.#agent.destroy();
   }
 
-  async #read(url: string): Promise<StatusAnswer> {
-    const answer = await request(url, {
+  async #read(url: string): Promise<StatusResult> {
+    const response = await request(url, {
       dispatcher: this.#agent,
-      signal: AbortSignal.timeout(TIMEOUT),
+      signal: AbortSignal.timeout(REQUEST_TIMEOUT),
     });
-    const text = await answer.body.text();
-    if (answer.statusCode !== 200) {
-      return Result.err(`status ${answer.statusCode}`);
+    const text = await response.body.text();
+    if (response.statusCode !== 200) {
+      return Result.err(`status ${response.statusCode}`);
     }
     const status = v.safeParse(statusSchema, JSON.parse(text));
     return status.success
--- a/packages/command_line/src/output/command_result.ts
+++ b/packages/command_line/src/output/command_result.ts
@@ -1,14 +1,14 @@
-/** What a command has to say. @module */
+/** The result of a command. @module */
 import type { ExitCode } from "../exit_code.ts";
 
-/** `text` is for people, `json` for scripts; the same facts in both. */
+/** `text` is for people and `json` for scripts; both contain the same facts. */
 export type CommandResult = {
   exitCode: ExitCode;
   text: string[];
   json: unknown;
-  /** Printed to standard error in text mode: what went wrong and what to do. */
+  /** Lines for standard error in text mode: what went wrong and what to do. */
   warnings?: string[];
 };
 
-/** A command line that can't be carried out; the message says how to mend it. */
+/** The command line was wrong; the message says how to correct it. */
 export class UsageError extends Error {}
--- a/packages/command_line/src/output/difference_lines.ts
+++ b/packages/command_line/src/output/difference_lines.ts
@@ -1,22 +1,27 @@
-/** Differences between two sets, for people. @module */
+/** Formats the differences between two configurations as text. @module */
 import type { ObjectChange } from "@sycamorepulley/configuration";
 
 const SIGNS = { added: "+", removed: "-", changed: "~" } as const;
-const SHOWN_LENGTH = 100;
+/** Longest printed value, in characters; the rest is cut off. */
+const MAX_VALUE_LENGTH = 100;
 
-/** One line for each object, and below it one for each changed field. */
+/**
+ * Returns a line for each object, followed by a line for each changed field.
+ */
 export function differenceLines(changes: ObjectChange[]): string[] {
   return changes.flatMap((change) => [
     `${SIGNS[change.change]} ${change.object}`,
     ...change.fields.map((field) =>
-      `    ${field.field}: ${shown(field.before)} -> ${shown(field.after)}`
+      `    ${field.field}: ${formatValue(field.before)} -> ${
+        formatValue(field.after)
+      }`
     ),
   ]);
 }
 
-function shown(value: unknown): string {
+function formatValue(value: unknown): string {
   const text = value === undefined ? "(absent)" : JSON.stringify(value);
-  return text.length > SHOWN_LENGTH
-    ? `${text.slice(0, SHOWN_LENGTH)}...`
+  return text.length > MAX_VALUE_LENGTH
+    ? `${text.slice(0, MAX_VALUE_LENGTH)}...`
     : text;
 }
--- a/packages/command_line/src/output/problems_result.ts
+++ b/packages/command_line/src/output/problems_result.ts
@@ -1,10 +1,10 @@
-/** How problems of a file are told to the operator. @module */
+/** Reports the problems of a file to the operator. @module */
 import { describeProblem } from "@sycamorepulley/configuration";
 import type { Problem } from "@sycamorepulley/configuration";
 import { EXIT_CODE } from "../exit_code.ts";
 import type { CommandResult } from "./command_result.ts";
 
-/** Problems, one a line. */
+/** Returns one line for each problem, and their number. */
 export function problemsResult(problems: Problem[]): CommandResult {
   const noun = problems.length === 1 ? "problem" : "problems";
   return {
--- a/packages/command_line/src/output/publish_failure.ts
+++ b/packages/command_line/src/output/publish_failure.ts
@@ -1,4 +1,4 @@
-/** How a failed publish is told to the operator. @module */
+/** Reports a failed publish to the operator. @module */
 import type {
   PublishConflict,
   PublishError,
@@ -24,8 +24,8 @@
         exitCode: EXIT_CODE.refused,
         text: [],
         warnings: [
-          `The published set can't be read (${error.detail}).`,
-          "It may be of a later release: use that release's command line.",
+          `The published configuration can't be read (${error.detail}).`,
+          "If a later release published it, use that release's command line.",
         ],
         json: { error },
       };
@@ -35,7 +35,7 @@
         text: [],
         warnings: [
           `${describePlatformError(error.error)}.`,
-          "The set may be published. Settle it by the same command with " +
+          "The file may have been published. To find out, repeat the command with " +
           `--publish-id ${error.publishId}`,
         ],
         json: { error },
@@ -58,9 +58,9 @@
       `Conflict: the base is ${baseRevision}, but ${currentRevision} is ` +
       "published. Nothing was changed. Published since the base:",
       ...(edits.length > 0 ? edits : ["  (not known)"]),
-      "Your file would change in the published set:",
+      "Your file would change in the published configuration:",
       ...differenceLines(difference).map((line) => `  ${line}`),
-      "Take the others' edits into your file (see get), then apply it with " +
+      "Merge the others' edits into your file (see get), then apply it with " +
       `--base ${currentRevision}`,
     ],
     json: { conflict },
--- a/packages/command_line/src/output/table.ts
+++ b/packages/command_line/src/output/table.ts
@@ -1,9 +1,12 @@
-/** Aligned columns for people. @module */
+/** Formats tables and durations as text. @module */
 
-const GAP = "  ";
+const COLUMN_GAP = "  ";
 
-/** Lines of a table; the first row is the heading. */
-export function table(rows: string[][]): string[] {
+/**
+ * Returns the lines of a table with aligned columns; the first row is the
+ * heading.
+ */
+export function formatTable(rows: string[][]): string[] {
   const widths: number[] = [];
   for (const row of rows) {
     row.forEach((cell, column) => {
@@ -11,12 +14,12 @@
     });
   }
   return rows.map((row) =>
-    row.map((cell, column) => cell.padEnd(widths[column] ?? 0)).join(GAP)
+    row.map((cell, column) => cell.padEnd(widths[column] ?? 0)).join(COLUMN_GAP)
       .trimEnd()
   );
 }
 
-/** Milliseconds as people say them, such as `3h 12m`. */
+/** Formats a duration in its two largest units, such as `3h 12m`. */
 export function formatDuration(milliseconds: number): string {
   const seconds = Math.floor(milliseconds / 1000);
   const minutes = Math.floor(seconds / 60);
--- a/packages/command_line/src/program.ts
+++ b/packages/command_line/src/program.ts
@@ -1,4 +1,4 @@
-/** The commands, their options and their help. @module */
+/** Declares the commands, their options and their help. @module */
 import { cac } from "cac";
 import type { CAC } from "cac";
 import { apply } from "./commands/apply.ts";
@@ -15,7 +15,7 @@
 import type { CommandResult } from "./output/command_result.ts";
 
 const EXIT_CODES = `  0  done
-  1  problems were found, or what was asked for does not hold
+  1  problems were found, nothing was found, or the fleet is not ready and up to date
   2  the command line was wrong; nothing was tried
   3  conflict: somebody published since the base; nothing was changed
   4  a service was unreachable, or an outcome is unknown (the message says which)`;
@@ -23,10 +23,12 @@
 /** Options as the parser gives them. */
 export type ParsedOptions = Record<string, unknown>;
 
-type Run = (context: Context) => Promise<CommandResult>;
+type CommandRunner = (context: Context) => Promise<CommandResult>;
 
-/** The parser; a matched command leaves its run in `chosen`. */
-export function createProgram(chosen: { run?: Run }): CAC {
+/**
+ * Creates the parser; the action of the matched command sets `selected.run`.
+ */
+export function createProgram(selected: { run?: CommandRunner }): CAC {
   const program = cac("sycamorepulley");
   program
     .option("--store <url>", "Key-value service (or SYCAMOREPULLEY_STORE)")
@@ -36,29 +38,35 @@
       "JSON with comments: store, instances (or SYCAMOREPULLEY_SETTINGS)",
     )
     .option("--json", "Print JSON for scripts");
-  addConfigurationCommands(program, chosen);
-  addFleetCommands(program, chosen);
+  addConfigurationCommands(program, selected);
+  addFleetCommands(program, selected);
   program.help((sections) => {
     sections.push({ title: "Exit codes", body: EXIT_CODES });
   });
   return program;
 }
 
-function addConfigurationCommands(program: CAC, chosen: { run?: Run }): void {
+function addConfigurationCommands(
+  program: CAC,
+  selected: { run?: CommandRunner },
+): void {
   program.command("check <file>", "Check a file of objects as a whole")
     .example("  $ sycamorepulley check fleet.jsonc")
     .action((file: string) => {
-      chosen.run = (context) => check(context, file);
+      selected.run = (context) => check(context, file);
     });
   program.command("diff <file>", "Show what publishing a file would change")
     .example("  $ sycamorepulley diff fleet.jsonc")
     .action((file: string) => {
-      chosen.run = (context) => diff(context, file);
+      selected.run = (context) => diff(context, file);
     });
   program.command("apply <file>", "Check a file and publish it")
-    .option("--base <revision>", "Revision that the file was made from")
+    .option("--base <revision>", "Revision that the file is based on")
     .option("--by <name>", "Who publishes; shown to others in a conflict")
-    .option("--publish-id <id>", "Settle an unknown outcome: its publish id")
+    .option(
+      "--publish-id <id>",
+      "Repeat a publish of unknown outcome: its publish id",
+    )
     .option("--wait <seconds>", "Wait until it is in force in every process")
     .example("  $ sycamorepulley apply fleet.jsonc --wait 10")
     .example(
@@ -66,51 +74,54 @@
     )
     .action((file: string, options: ParsedOptions) => {
       const parsed = applyOptions(options);
-      chosen.run = (context) => apply(context, file, parsed);
+      selected.run = (context) => apply(context, file, parsed);
     });
   program.command(
     "get [kind] [name]",
-    "Print the published set, a kind or an object",
+    "Print the published configuration, a kind or an object",
   )
     .example("  $ sycamorepulley get > fleet.jsonc")
     .example("  $ sycamorepulley get services")
     .example("  $ sycamorepulley get versions assistant/v2")
     .action((kind?: string, name?: string) => {
-      chosen.run = (context) => get(context, kind, name);
+      selected.run = (context) => get(context, kind, name);
     });
 }
 
-function addFleetCommands(program: CAC, chosen: { run?: Run }): void {
+function addFleetCommands(
+  program: CAC,
+  selected: { run?: CommandRunner },
+): void {
   program.command(
     "status",
     "Show what every process has in force, and its health",
   )
     .example("  $ sycamorepulley status --json")
     .action(() => {
-      chosen.run = status;
+      selected.run = status;
     });
   program.command("instances", "Show the platform's list of instances")
     .example("  $ sycamorepulley instances")
     .action(() => {
-      chosen.run = instances;
+      selected.run = instances;
     });
-  program.command("moves", "Show how far each move has come")
+  program.command("moves", "Show the progress of each move")
     .example("  $ sycamorepulley moves")
     .action(() => {
-      chosen.run = moves;
+      selected.run = moves;
     });
   program.command(
     "explain <request> [...files]",
-    "Tell a request's story from logs (files, or standard input)",
+    "Show what logs say of a request (files, or standard input)",
   )
     .example("  $ sycamorepulley explain 9c41d07be2a35f68 entry-*.log")
     .action((request: string, files: string[]) => {
-      chosen.run = (context) => explain(context, request, files);
+      selected.run = (context) => explain(context, request, files);
     });
   program.command("refusals", "Sum refusals and retries by reason")
     .example("  $ sycamorepulley refusals")
     .action(() => {
-      chosen.run = refusals;
+      selected.run = refusals;
     });
 }
 
--- a/packages/command_line/src/run.ts
+++ b/packages/command_line/src/run.ts
@@ -1,4 +1,4 @@
-/** One run of the command line, from its arguments to its exit code. @module */
+/** Runs the command line, from its arguments to its exit code. @module */
 import { HttpInstanceList, HttpKeyValueStore } from "@sycamorepulley/store";
 import type { CAC } from "cac";
 import { findAddresses } from "./addresses.ts";
@@ -11,17 +11,18 @@
 import type { CommandResult } from "./output/command_result.ts";
 import { createProgram } from "./program.ts";
 
-/** Where a run takes its input and leaves its output. */
+/** Input and output of a run. */
 export type RunOptions = {
-  /** Without the program's own path. */
+  /** The arguments, without the program's own path. */
   arguments: string[];
   environment: Record<string, string | undefined>;
+  /** Prints a line to standard output. */
   print: (line: string) => void;
-  /** To standard error. */
+  /** Prints a line to standard error. */
   warn: (line: string) => void;
 };
 
-/** Carries the command out; resolves to the exit code. */
+/** Runs the command; resolves to the exit code. */
 export async function run(options: RunOptions): Promise<ExitCode> {
   try {
     return await runCommand(options);
@@ -35,28 +36,28 @@
 }
 
 async function runCommand(options: RunOptions): Promise<ExitCode> {
-  const chosen: { run?: (context: Context) => Promise<CommandResult> } = {};
-  const program = createProgram(chosen);
+  const selected: { run?: (context: Context) => Promise<CommandResult> } = {};
+  const program = createProgram(selected);
   const argv = ["node", "sycamorepulley", ...options.arguments];
   const parsed = program.parse(argv, { run: false });
   if (parsed.options["help"] === true) {
     return EXIT_CODE.ok;
   }
   if (program.matchedCommand === undefined) {
-    throw unknownCommand(program);
+    throw unknownCommandError(program);
   }
   await program.runMatchedCommand();
   const addresses = findAddresses({
     ...parsed.options,
     environment: options.environment,
   });
-  const command = chosen.run as (context: Context) => Promise<CommandResult>;
+  const command = selected.run as (context: Context) => Promise<CommandResult>;
   const result = await withContext(addresses, command);
-  report(result, parsed.options["json"] === true, options);
+  printResult(result, parsed.options["json"] === true, options);
   return result.exitCode;
 }
 
-function unknownCommand(program: CAC): UsageError {
+function unknownCommandError(program: CAC): UsageError {
   const [name] = program.args;
   if (name !== undefined) {
     return new UsageError(`there is no command "${name}"`);
@@ -87,7 +88,7 @@
   }
 }
 
-function report(
+function printResult(
   result: CommandResult,
   json: boolean,
   options: RunOptions,
@@ -102,7 +103,7 @@
   result.warnings?.forEach(options.warn);
 }
 
-/** The parser's own errors carry no class that it exports, but this name. */
+/** The parser does not export the class of its errors; they have this name. */
 function isUsageError(error: unknown): error is Error {
   return error instanceof UsageError ||
     (error instanceof Error && error.name === "CACError");
--- a/packages/command_line/test/configuration_commands_test.ts
+++ b/packages/command_line/test/configuration_commands_test.ts
@@ -5,7 +5,7 @@
 import t from "tap";
 import { command, FILE, startPlatform } from "./example.ts";
 
-t.test("publishes, reads back and edits by the file's own base", async (t) => {
+t.test("publishes a file, and its edits by the base revision in the file", async (t) => {
   const { command, file } = await startPlatform(t);
   t.match(await command("apply", file(FILE)), {
     exitCode: 0,
@@ -26,16 +26,16 @@
   t.match(await command("apply", edited, "--base", "1"), { exitCode: 3 });
 });
 
-t.test("without a base only the first set is published", async (t) => {
+t.test("without a base revision only a first publish is accepted", async (t) => {
   const { command, file } = await startPlatform(t);
   await command("apply", file(FILE));
   t.match(await command("apply", file(FILE.replace("5000", "7000"))), {
     exitCode: 2,
-    errors: /which revision was .* made from\? State it with --base N/,
+    errors: /revision that .* is based on is unknown: state it with --base N/,
   });
 });
 
-t.test("a conflict says who changed what and what to do", async (t) => {
+t.test("a conflict reports who changed what and what to do", async (t) => {
   const { command, file } = await startPlatform(t);
   await command("apply", file(FILE));
   const { output: mine } = await command("get");
@@ -48,7 +48,7 @@
   t.match(late.errors, /apply it with --base \d+$/);
 });
 
-t.test("problems go before publishing, with their lines", async (t) => {
+t.test("problems are reported with their lines, and nothing is published", async (t) => {
   const { command, file } = await startPlatform(t);
   const wrong = file(
     FILE.replace('"defaultTier": "urgent"', '"defaultTier": "x"'),
@@ -67,15 +67,14 @@
   });
 });
 
-// The service takes the publish, but the answer to every write that takes effect
-// is lost. The operator must learn that the set is published, not that it failed.
-t.test("a publish whose answers are lost is settled", async (t) => {
+// Guards against reporting an accepted publish as failed after a lost response.
+t.test("a publish is resolved although its responses are lost", async (t) => {
   const { command, file, store } = await startPlatform(t);
   const body = JSON.stringify({ lostWriteAnswers: 99 });
   await fetch(`${store.url}/faults`, { method: "PUT", body });
   const path = file(FILE);
   const settled = await command("apply", path, "--publish-id", "mine");
-  t.match(settled, { exitCode: 0 }, "the refused repeat shows our publish");
+  t.match(settled, { exitCode: 0 }, "the rejected retry returns our publish");
   await fetch(`${store.url}/faults`, { method: "PUT", body: "{}" });
   t.match(await command("apply", path, "--base", "0", "--publish-id", "mine"), {
     exitCode: 0,
@@ -83,7 +82,7 @@
   });
 });
 
-t.test("an unreachable service is told from a wrong command", async (t) => {
+t.test("an unreachable service and a wrong command have different exit codes", async (t) => {
   const path = t.testdir({ "fleet.jsonc": FILE }) + "/fleet.jsonc";
   const store = ["--store", "http://127.0.0.1:1"];
   t.match(await command(["apply", path, "--base", "0", ...store], {}), {
--- a/packages/command_line/test/example.ts
+++ b/packages/command_line/test/example.ts
@@ -1,4 +1,4 @@
-/** A started platform and a way to run the command line. @module */
+/** Starts a platform for tests and runs the command line. @module */
 import {
   startInstanceList,
   startKeyValueStore,
@@ -15,7 +15,10 @@
 }
 `;
 
-/** Starts both services, runs commands and writes files into a test's directory. */
+/**
+ * Starts the key-value service and the instance list. Returns functions that
+ * run a command against them and write a file into the test's directory.
+ */
 export async function startPlatform(t: Test) {
   const store = await startKeyValueStore();
   const instances = await startInstanceList();
@@ -40,7 +43,7 @@
   };
 }
 
-/** Runs the command line within this process. */
+/** Runs the command line in this process. */
 export async function command(
   words: string[],
   environment: Record<string, string>,
--- a/packages/command_line/test/explain_test.ts
+++ b/packages/command_line/test/explain_test.ts
@@ -3,12 +3,12 @@
 import t from "tap";
 import { command } from "./example.ts";
 
-function line(instance: string, time: number, message: string, more = {}) {
+function logLine(instance: string, time: number, message: string, more = {}) {
   const context = { instance, logLevel: 30, ...more };
   return JSON.stringify({ context, message, time, version: "2.0.0" });
 }
 
-t.test("a story over two processes' logs, in order", async (t) => {
+t.test("prints a request's lines from the logs of two processes in order of time", async (t) => {
   const directory = t.testdir();
   const first = join(directory, "one.log");
   const second = join(directory, "two.log");
@@ -17,16 +17,24 @@
     first,
     [
       "not a log line",
-      line("entry-1", 1000, "granted", { request, server: "s1", waited: 4 }),
-      line("entry-1", 1001, "granted", { request: "other", server: "s1" }),
-      line("entry-1", 1800, "cut", { request, server: "s1", reason: "reset" }),
+      logLine("entry-1", 1000, "granted", { request, server: "s1", waited: 4 }),
+      logLine("entry-1", 1001, "granted", { request: "other", server: "s1" }),
+      logLine("entry-1", 1800, "cut", {
+        request,
+        server: "s1",
+        reason: "reset",
+      }),
     ].join("\n"),
   );
   writeFileSync(
     second,
     [
-      line("entry-2", 2500, "answered", { request, server: "s2", status: 200 }),
-      line("entry-2", 2600, "omitted", { of: "granted", lines: 12 }),
+      logLine("entry-2", 2500, "answered", {
+        request,
+        server: "s2",
+        status: 200,
+      }),
+      logLine("entry-2", 2600, "omitted", { of: "granted", lines: 12 }),
     ].join("\n"),
   );
   const { exitCode, output, errors } = await command(
@@ -42,15 +50,15 @@
   t.match(errors, /entry-2 left out 12 lines of "granted"/);
 });
 
-t.test("a request that no line tells of is said so", async (t) => {
+t.test("reports a request that no log line mentions", async (t) => {
   const file = join(t.testdir(), "one.log");
-  writeFileSync(file, line("entry-1", 1, "started"));
+  writeFileSync(file, logLine("entry-1", 1, "started"));
   const { exitCode, output } = await command(["explain", "none", file], {});
   t.equal(exitCode, 1);
-  t.match(output, /no line tells of request none/);
+  t.match(output, /no log line mentions request none/);
 });
 
-t.test("a file that can't be read is a wrong command line", async (t) => {
+t.test("a file that can't be read is a usage error", async (t) => {
   const { exitCode, errors } = await command(["explain", "x", "/none"], {});
   t.equal(exitCode, 2);
   t.match(errors, /\/none/);
--- a/packages/command_line/test/fleet_commands_test.ts
+++ b/packages/command_line/test/fleet_commands_test.ts
@@ -29,21 +29,21 @@
   }],
 };
 
-/** Serves `/status` and lists the process. */
+/** Starts a server for `/status` and registers it in the instance list. */
 async function startProcess(t: Test, listUrl: string, status: Status) {
   const server = createServer((_request, response) => {
     response.end(JSON.stringify(status));
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as AddressInfo;
-  await listProcess(t, listUrl, { ...status, statusPort: port });
+  await registerProcess(t, listUrl, { ...status, statusPort: port });
   t.teardown(() => {
     server.closeAllConnections();
     server.close();
   });
 }
 
-async function listProcess(
+async function registerProcess(
   t: Test,
   listUrl: string,
   options: Pick<Status, "instance" | "role"> & { statusPort: number },
@@ -62,7 +62,7 @@
   t.ok(registered.isOk);
 }
 
-t.test("status tells which processes lag behind the published set", async (t) => {
+t.test("status shows which processes lag behind the published revision", async (t) => {
   const { command, file, instances } = await startPlatform(t);
   await command("apply", file(FILE));
   const { output } = await command("get", "--json");
@@ -83,11 +83,11 @@
   });
 });
 
-t.test("a silent process and an outage are said so", async (t) => {
+t.test("status reports an unreachable process and an outage", async (t) => {
   const { command, instances, store } = await startPlatform(t);
   await startProcess(t, instances.url, ENTRY);
   const gone = { instance: "gone", role: "entry" as const, statusPort: 1 };
-  await listProcess(t, instances.url, gone);
+  await registerProcess(t, instances.url, gone);
   const body = JSON.stringify({ outage: "refuse" });
   await fetch(`${store.url}/faults`, { method: "PUT", body });
   const status = await command("status");
@@ -97,7 +97,7 @@
   t.match(status.errors, /published revision is not known/);
 });
 
-t.test("waits until a publish is in force", async (t) => {
+t.test("apply --wait reports that a publish is not in force in time", async (t) => {
   const { command, file, instances } = await startPlatform(t);
   const path = file(FILE);
   await startProcess(t, instances.url, ENTRY);
