--- a/packages/configuration/src/check/check_moves.ts
+++ b/packages/configuration/src/check/check_moves.ts
@@ -1,7 +1,8 @@
-/** Moves shift traffic off the live version, one at a time. @module */
+/** Checks moves: each starts at the live version, one per service. @module */
 import type { ConfigurationObjects, Move } from "../objects.ts";
 import type { Findings } from "./findings.ts";
 
+/** A move to be checked, its index in `moves`, and where to report problems. */
 type MoveCheck = {
   move: Move;
   index: number;
@@ -10,8 +11,9 @@
 };
 
 /**
- * A move whose deadline has passed is over. It may stay in the set unchanged,
- * but a new or edited one must lie ahead, or it is over before it begins.
+ * Checks every move. A move whose deadline has passed is over: it may stay in
+ * the configuration unchanged. The deadline of a new or edited move must be in
+ * the future, otherwise the move would be over before it starts.
  */
 export function checkMoves(
   objects: ConfigurationObjects,
@@ -30,15 +32,15 @@
       checkUnchanged(check, before);
       return;
     }
-    checkSource(check);
-    checkSingle(check, unfinished.get(move.service));
+    checkFromVersion(check);
+    checkNoOtherUnfinishedMove(check, unfinished.get(move.service));
     unfinished.set(move.service, move.name);
   });
 }
 
 function checkReferences(check: MoveCheck): void {
   const { move, index, objects, findings } = check;
-  findings.addDangling({
+  findings.addDanglingReference({
     path: ["moves", index, "service"],
     kind: "service",
     name: move.service,
@@ -62,7 +64,7 @@
   if (move.from === move.to) {
     findings.add({
       path: ["moves", index, "to"],
-      detail: "the move ends at the version where it begins",
+      detail: "from and to name the same version",
       mend: "name the new version in to",
     });
   }
@@ -84,7 +86,7 @@
   });
 }
 
-function checkSource(check: MoveCheck): void {
+function checkFromVersion(check: MoveCheck): void {
   const { move, index, objects, findings } = check;
   const from = objects.versions.find((version) =>
     version.service === move.service && version.name === move.from
@@ -99,7 +101,10 @@
   }
 }
 
-function checkSingle(check: MoveCheck, other: string | undefined): void {
+function checkNoOtherUnfinishedMove(
+  check: MoveCheck,
+  other: string | undefined,
+): void {
   const { move, index, findings } = check;
   if (other !== undefined) {
     findings.add({
--- a/packages/configuration/src/check/check_services.ts
+++ b/packages/configuration/src/check/check_services.ts
@@ -1,18 +1,17 @@
-/** Services name existing tiers, and their routes are unambiguous. @module */
+/** Checks services: their tiers, models and routes. @module */
 import type { ConfigurationObjects, Route, Service } from "../objects.ts";
 import type { Findings } from "./findings.ts";
 
-/** Methods that clients and balancers repeat without being asked. */
+/** Methods that HTTP clients and load balancers retry on their own. */
 const SAFE_METHODS = new Set(["GET", "HEAD"]);
 
-/** Checks each service; see the messages for the rules. */
 export function checkServices(
   objects: ConfigurationObjects,
   findings: Findings,
 ): void {
   const tiers = new Set(objects.tiers.map((tier) => tier.name));
   objects.services.forEach((service, index) => {
-    findings.addDangling({
+    findings.addDanglingReference({
       path: ["services", index, "defaultTier"],
       kind: "tier",
       name: service.defaultTier,
@@ -28,21 +27,21 @@
   if (service.kind === "plain" && service.models.length > 0) {
     findings.add({
       path: ["services", index, "models"],
-      detail: "a plain service answers for no model",
+      detail: "a plain service can't have models",
       mend: 'remove models or set kind to "model"',
     });
   }
   if (service.kind === "model" && service.routes.length > 0) {
     findings.add({
       path: ["services", index, "routes"],
-      detail: "a model service has the one route of chat completions",
+      detail: "a model service has only the route of chat completions",
       mend: 'remove routes or set kind to "plain"',
     });
   }
 }
 
 function checkModels(objects: ConfigurationObjects, findings: Findings): void {
-  findings.addRepeated({
+  findings.addDuplicates({
     entries: objects.services.flatMap((service, index) =>
       service.models.map((model, position) => ({
         path: ["services", index, "models", position],
@@ -51,7 +50,7 @@
       }))
     ),
     what: "the model",
-    mend: "let each model mean one service",
+    mend: "list each model in one service only",
   });
 }
 
@@ -68,7 +67,7 @@
     const path = ["services", index, "routes", position];
     checkRoute({ route, path, findings });
     if (route.tier !== undefined) {
-      findings.addDangling({
+      findings.addDanglingReference({
         path: [...path, "tier"],
         kind: "tier",
         name: route.tier,
@@ -76,7 +75,7 @@
       });
     }
   });
-  findings.addRepeated({
+  findings.addDuplicates({
     entries: service.routes.map((route, position) => ({
       path: ["services", index, "routes", position, "path"],
       key: `${route.method} ${route.path}`,
@@ -93,15 +92,15 @@
   if (route.path.slice(0, -1).includes("*")) {
     findings.add({
       path: [...path, "path"],
-      detail: '"*" stands before the end',
+      detail: '"*" is not at the end',
       mend: 'write an exact path, or a prefix that ends in "*"',
     });
   }
   if (!route.idempotent && SAFE_METHODS.has(route.method)) {
     findings.add({
       path: [...path, "idempotent"],
-      detail: `clients repeat ${route.method} on their own, so that a call ` +
-        "which may not run twice can't be protected",
+      detail: `clients retry ${route.method} on their own, so a call ` +
+        "that may not run twice can't be protected",
       mend: "serve the call under POST, or set idempotent to true",
     });
   }
--- a/packages/configuration/src/check/check_versions.ts
+++ b/packages/configuration/src/check/check_versions.ts
@@ -1,8 +1,8 @@
-/** A service with versions has exactly one that is live. @module */
+/** Checks that a service with versions has exactly one live version. @module */
 import type { ConfigurationObjects } from "../objects.ts";
 import type { Findings } from "./findings.ts";
 
-/** Without a live version a service's requests have nowhere to go. */
+/** Without a live version there is no destination for a service's requests. */
 export function checkVersions(
   objects: ConfigurationObjects,
   findings: Findings,
@@ -10,7 +10,7 @@
   const services = new Set(objects.services.map((service) => service.name));
   const live = new Map<string, string>();
   objects.versions.forEach((version, index) => {
-    findings.addDangling({
+    findings.addDanglingReference({
       path: ["versions", index, "service"],
       kind: "service",
       name: version.service,
@@ -28,10 +28,10 @@
       live.set(version.service, version.name);
     }
   });
-  checkLiveness({ objects, live, findings });
+  checkLiveVersionExists({ objects, live, findings });
 }
 
-function checkLiveness(
+function checkLiveVersionExists(
   options: {
     objects: ConfigurationObjects;
     live: Map<string, string>;
--- a/packages/configuration/src/check/findings.ts
+++ b/packages/configuration/src/check/findings.ts
@@ -1,20 +1,22 @@
-/** Collects what the checks find. @module */
+/** Collects the findings of the checks. @module */
 import { objectAt } from "../read_objects.ts";
 import type { ConfigurationObjects } from "../objects.ts";
 import { fieldName } from "../problem.ts";
 import type { ObjectPath, Problem } from "../problem.ts";
-import type { Source } from "../source.ts";
+import type { SourceFile } from "../source_file.ts";
 
-/** What a check states; place and object follow from the path. */
+/**
+ * A problem found by a check; its line and object are derived from the path.
+ */
 export type Finding = { path: ObjectPath; detail: string; mend: string };
 
-/** Turns findings into problems with file, line, object and field. */
+/** Converts findings to problems with file, line, object and field. */
 export class Findings {
   readonly problems: Problem[] = [];
   readonly #objects: ConfigurationObjects;
-  readonly #source: Source | undefined;
+  readonly #source: SourceFile | undefined;
 
-  constructor(objects: ConfigurationObjects, source: Source | undefined) {
+  constructor(objects: ConfigurationObjects, source: SourceFile | undefined) {
     this.#objects = objects;
     this.#source = source;
   }
@@ -31,8 +33,8 @@
     });
   }
 
-  /** States a name that refers to nothing. */
-  addDangling(
+  /** Adds a finding if `name` is not one of the `known` names. */
+  addDanglingReference(
     options: {
       path: ObjectPath;
       kind: string;
@@ -52,8 +54,11 @@
     });
   }
 
-  /** States each value that already stood earlier; `describe` names it. */
-  addRepeated(
+  /**
+   * Adds a finding for each entry whose key an earlier entry has. `what` is the
+   * kind of value and `holder` the object that has it, as shown in the message.
+   */
+  addDuplicates(
     options: {
       entries: { path: ObjectPath; key: string; holder?: string }[];
       what: string;
--- a/packages/configuration/src/publish.ts
+++ b/packages/configuration/src/publish.ts
@@ -1,4 +1,7 @@
-/** Publishing a set by one compare-and-swap. @module */
+/**
+ * Publishes a configuration by one compare-and-swap of the manifest.
+ * @module
+ */
 import { setTimeout as sleep } from "node:timers/promises";
 import { Result } from "true-myth/result";
 import type {
@@ -18,52 +21,61 @@
 import type { ConfigurationObjects } from "./objects.ts";
 import type { PublishError } from "./publish_error.ts";
 import type { Snapshot } from "./snapshot.ts";
-import type { Source } from "./source.ts";
+import type { SourceFile } from "./source_file.ts";
 
-const ATTEMPTS = 5;
+/** Number of times that a write is tried. */
+const MAX_ATTEMPTS = 5;
+/**
+ * Pause after the first attempt, in milliseconds; grows by as much each time.
+ */
 const PAUSE_BETWEEN_ATTEMPTS = 300;
 
-/** What to publish and on what it is based. */
+/** Options of {@link publish}. */
 export type PublishOptions = {
   store: KeyValueStore;
   objects: ConfigurationObjects;
-  /** The operator's file; gives problems their lines. */
-  source?: Source;
-  /** What to publish word for word; by default the operator's file. */
+  /** The file that `objects` were read from; used for the lines of problems. */
+  source?: SourceFile;
+  /** Text to publish; by default the text of `source`. */
   text?: string;
-  /** Revision that the operator edited; 0 for the first set. */
+  /** Revision that the operator edited; 0 for the first publish. */
   baseRevision: number;
-  /** Unique to this publish; keep it when trying again. */
+  /** Unique id of this publish; a retry uses the same one. */
   publishId: string;
-  /** Who publishes, for others to read. */
+  /** Name of the publisher, shown to others in a conflict. */
   publishedBy?: string;
   /** Milliseconds since 1970. */
   now: number;
+  /** Key of the manifest; by default {@link MANIFEST_KEY}. */
   key?: string;
-  /** Waits between attempts, in milliseconds. */
+  /** Waits for `duration` milliseconds between attempts; replaced in tests. */
   pause?: (duration: number) => Promise<void>;
 };
 
-/** The snapshot that is published now; `unchanged` when it already was. */
-export type Published = { snapshot: Snapshot; unchanged: boolean };
+/** The published snapshot; `unchanged` if it was published before this call. */
+export type PublishResult = { snapshot: Snapshot; unchanged: boolean };
 
-type Current = {
+/** The manifest as read; both fields are absent before the first publish. */
+type StoredConfiguration = {
   entry: KeyValueEntry | undefined;
   snapshot: Snapshot | undefined;
 };
 
-/** Checks the whole set and publishes it if nobody published since the base. */
+/**
+ * Checks the whole configuration and publishes it, unless somebody else
+ * published after the base revision.
+ */
 export async function publish(
   options: PublishOptions,
-): Promise<Result<Published, PublishError>> {
+): Promise<Result<PublishResult, PublishError>> {
   const read = await readPublished(options.store, options.key);
   if (read.isErr) {
     return Result.err(read.error);
   }
   const current = read.value;
-  const settled = settledAlready(options, current.snapshot);
-  if (settled !== undefined) {
-    return settled;
+  const earlyResult = resultWithoutWrite(options, current.snapshot);
+  if (earlyResult !== undefined) {
+    return earlyResult;
   }
   const problems = checkObjects(options.objects, {
     now: options.now,
@@ -73,18 +85,25 @@
   if (problems.length > 0) {
     return Result.err({ kind: "problems", problems });
   }
-  const source = sourceText(options);
+  const source = textToPublish(options);
   if (current.snapshot && publishedSource(current.snapshot) === source) {
     return Result.ok({ snapshot: current.snapshot, unchanged: true });
   }
-  return swap(options, current, nextManifest(options, current.snapshot));
+  return writeManifest(
+    options,
+    current,
+    createManifest(options, current.snapshot),
+  );
 }
 
-/** Reads the published set; `snapshot` is absent before the first publish. */
+/**
+ * Reads the published configuration; `snapshot` is absent before the first
+ * publish.
+ */
 export async function readPublished(
   store: KeyValueStore,
   key = MANIFEST_KEY,
-): Promise<Result<Current, PublishError>> {
+): Promise<Result<StoredConfiguration, PublishError>> {
   const entry = await store.get(key);
   if (entry.isErr) {
     return Result.err({ kind: "not_published", error: entry.error });
@@ -99,26 +118,27 @@
 }
 
 /**
- * The next revision: above the base, and at least the time in milliseconds. A
- * plain counter would repeat revisions after the service was restored to an
- * older state, and processes that still hold the lost ones would refuse the new
- * set. Publishers' clocks may differ by as much as passes between the last lost
- * publish and the first one after the restore.
+ * The next revision: higher than the base, and at least the current time in
+ * milliseconds. A plain counter would assign the same revisions again after the
+ * key-value service was restored to an older state, and processes that still
+ * have a lost configuration in force would reject the new one. This holds if
+ * the clocks of publishers differ by at most the time between the last lost
+ * publish and the first publish after the restore.
  */
 export function nextRevision(baseRevision: number, now: number): number {
   return Math.max(baseRevision + 1, Math.floor(now));
 }
 
-function settledAlready(
+function resultWithoutWrite(
   options: PublishOptions,
   current: Snapshot | undefined,
-): Result<Published, PublishError> | undefined {
+): Result<PublishResult, PublishError> | undefined {
   if (current !== undefined && wasPublished(current, options.publishId)) {
     return Result.ok({ snapshot: current, unchanged: true });
   }
   return (current?.revision ?? 0) === options.baseRevision
     ? undefined
-    : Result.err(conflict(options, current));
+    : Result.err(createConflict(options, current));
 }
 
 function wasPublished(current: Snapshot, publishId: string): boolean {
@@ -127,7 +147,7 @@
   );
 }
 
-function conflict(
+function createConflict(
   options: PublishOptions,
   current: Snapshot | undefined,
 ): PublishError {
@@ -143,12 +163,12 @@
   };
 }
 
-function sourceText(options: PublishOptions): string {
+function textToPublish(options: PublishOptions): string {
   return options.text ?? options.source?.text ??
     JSON.stringify(options.objects, null, 2);
 }
 
-function nextManifest(
+function createManifest(
   options: PublishOptions,
   current: Snapshot | undefined,
 ): string {
@@ -162,24 +182,26 @@
   };
   return encodeManifest({
     history: [...current?.history ?? [], publication],
-    source: sourceText(options),
+    source: textToPublish(options),
   });
 }
 
 /**
- * A lost answer may hide a write that took effect, or one that is still under
- * way and lands after a read. Sending the same swap again settles it: both name
- * the same expected revision, so at most one of them takes effect, and the
- * refused one brings back the value with the publish id of whoever won.
+ * Writes the manifest, and repeats the write if its outcome is unknown. A write
+ * whose response was lost may have taken effect, or may still be under way and
+ * take effect after a read. Repeating the same compare-and-swap resolves this:
+ * all attempts expect the same revision, so at most one takes effect, and a
+ * rejected one returns the current value with the publish id of the write that
+ * succeeded.
  */
-async function swap(
+async function writeManifest(
   options: PublishOptions,
-  current: Current,
+  current: StoredConfiguration,
   value: string,
-): Promise<Result<Published, PublishError>> {
+): Promise<Result<PublishResult, PublishError>> {
   const pause = options.pause ?? ((duration) => sleep(duration));
-  let doubt: PlatformError | undefined;
-  for (let attempt = 1; attempt <= ATTEMPTS; attempt += 1) {
+  let ambiguousError: PlatformError | undefined;
+  for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt += 1) {
     const outcome = await options.store.compareAndSwap({
       key: options.key ?? MANIFEST_KEY,
       expected: current.entry?.revision ?? 0,
@@ -187,29 +209,34 @@
     });
     if (outcome.isOk) {
       return outcome.value.swapped
-        ? published(value, options)
-        : published(outcome.value.current?.value, options);
+        ? resultOfStoredValue(value, options)
+        : resultOfStoredValue(outcome.value.current?.value, options);
     }
-    if (outcome.error.applied === "no" && doubt === undefined) {
+    if (outcome.error.applied === "no" && ambiguousError === undefined) {
       return Result.err({ kind: "not_published", error: outcome.error });
     }
-    doubt = outcome.error.applied === "unknown" ? outcome.error : doubt;
+    ambiguousError = outcome.error.applied === "unknown"
+      ? outcome.error
+      : ambiguousError;
     await pause(PAUSE_BETWEEN_ATTEMPTS * attempt);
   }
   return Result.err({
     kind: "unknown",
-    error: doubt as PlatformError,
+    error: ambiguousError as PlatformError,
     publishId: options.publishId,
   });
 }
 
-/** Whether the value now in the store is, or came after, this publish. */
-function published(
+/**
+ * The result of a publish after which the key-value service holds `value`: a
+ * success if its history contains the publish, otherwise a conflict.
+ */
+function resultOfStoredValue(
   value: string | undefined,
   options: PublishOptions,
-): Result<Published, PublishError> {
+): Result<PublishResult, PublishError> {
   if (value === undefined) {
-    return Result.err(conflict(options, undefined));
+    return Result.err(createConflict(options, undefined));
   }
   const snapshot = decodeManifest(value);
   if (snapshot.isErr) {
@@ -217,5 +244,5 @@
   }
   return wasPublished(snapshot.value, options.publishId)
     ? Result.ok({ snapshot: snapshot.value, unchanged: false })
-    : Result.err(conflict(options, snapshot.value));
+    : Result.err(createConflict(options, snapshot.value));
 }
--- a/packages/configuration/src/source.ts
+++ b/packages/configuration/src/source_file.ts
@@ -1,10 +1,10 @@
-/** The text that a set of objects was read from. @module */
+/** The text of a configuration file, with the lines of its values. @module */
 import { findNodeAtLocation } from "jsonc-parser";
 import type { Node } from "jsonc-parser";
 import type { ObjectPath } from "./problem.ts";
 
-/** Finds the line of each value. */
-export class Source {
+/** A configuration file that was read; finds the line of each value. */
+export class SourceFile {
   readonly file: string;
   readonly text: string;
   readonly #root: Node | undefined;
@@ -14,10 +14,10 @@
     this.file = options.file;
     this.text = options.text;
     this.#root = options.root;
-    this.#lineStarts = startsOfLines(options.text);
+    this.#lineStarts = findLineStarts(options.text);
   }
 
-  /** Line of a character's offset, counted from 1. */
+  /** Line number, from 1, of the character at `offset`. */
   lineAt(offset: number): number {
     let low = 0;
     let high = this.#lineStarts.length;
@@ -32,7 +32,10 @@
     return low + 1;
   }
 
-  /** Line of the value at the path, or of the nearest one that holds it. */
+  /**
+   * Line number, from 1, of the value at `path` or of its nearest existing
+   * parent.
+   */
   lineOf(path: ObjectPath): number {
     for (let length = path.length; length > 0; length -= 1) {
       const node = this.#root &&
@@ -45,7 +48,7 @@
   }
 }
 
-function startsOfLines(text: string): number[] {
+function findLineStarts(text: string): number[] {
   const starts = [0];
   for (let index = text.indexOf("\n"); index !== -1;) {
     starts.push(index + 1);
--- a/packages/configuration/test/configuration_follower_test.ts
+++ b/packages/configuration/test/configuration_follower_test.ts
@@ -11,12 +11,12 @@
   publish,
   watchDuration,
 } from "../src/mod.ts";
-import { EXAMPLE, NOW, read } from "./example.ts";
+import { EXAMPLE, NOW, readExample } from "./example.ts";
 
-/** Spaces calls instead of watching, so that a poll returns at once. */
+/** A fleet that polls instead of watching, so that a poll returns at once. */
 const LARGE_FLEET = 51;
 
-function started() {
+function createFixture() {
   const memory = new MemoryKeyValueStore();
   const store = new FaultyKeyValueStore(memory);
   const follow = () => {
@@ -32,7 +32,7 @@
   return { memory, store, follow };
 }
 
-function manifest(revision: number): string {
+function encodedManifest(revision: number): string {
   return encodeManifest({
     history: [{
       revision,
@@ -45,51 +45,48 @@
   });
 }
 
-async function put(store: MemoryKeyValueStore, value: string) {
+async function storeManifest(store: MemoryKeyValueStore, value: string) {
   const entry = (await store.get(MANIFEST_KEY)).unwrapOr(undefined);
   const expected = entry?.revision ?? 0;
   await store.compareAndSwap({ key: MANIFEST_KEY, expected, value });
 }
 
-t.test("adopts each newer set once", async (t) => {
-  const { memory, follow } = started();
+t.test("adopts each newer configuration once", async (t) => {
+  const { memory, follow } = createFixture();
   const { follower, adopted } = follow();
   await follower.poll();
   t.equal(follower.revision, 0);
-  await put(memory, manifest(5));
+  await storeManifest(memory, encodedManifest(5));
   await follower.poll();
   await follower.poll();
-  await put(memory, manifest(6));
+  await storeManifest(memory, encodedManifest(6));
   await follower.poll();
   t.same(adopted, [5, 6]);
 });
 
-// A new instance starts while the platform's service is down. Its peer has a
-// set in force; without the peer it would refuse every caller for hours.
-t.test("starts from a peer during an outage", async (t) => {
-  const { store, follow } = started();
+// Guards against a process started in an outage refusing callers until its end.
+t.test("takes the configuration from a peer during an outage", async (t) => {
+  const { store, follow } = createFixture();
   store.outage = true;
   const { follower } = follow();
   await follower.poll();
   t.match(follower.lastError, { reason: "unreachable" });
-  t.ok(follower.receiveManifest(manifest(5)));
-  t.notOk(follower.receiveManifest(manifest(4)));
+  t.ok(follower.receiveManifest(encodedManifest(5)));
+  t.notOk(follower.receiveManifest(encodedManifest(4)));
   t.notOk(follower.receiveManifest("noise"));
   await follower.poll();
   t.equal(follower.revision, 5);
   t.match(follower.counts, { adopted: 1, malformed: 1, failed: 2 });
 });
 
-// The service is restored from a backup of an hour ago. Operators saw revision
-// 9 accepted; processes that follow the service go back to 5, and processes
-// that start now never hear of 9.
-t.test("a restored older state is neither adopted nor kept", async (t) => {
-  const { memory, follow } = started();
+// Guards against losing an accepted publish when a backup is restored.
+t.test("a restored older state is not adopted, and the newer one written back", async (t) => {
+  const { memory, follow } = createFixture();
   const { follower, adopted } = follow();
-  await put(memory, manifest(5));
+  await storeManifest(memory, encodedManifest(5));
   await follower.poll();
   const backup = memory.backup();
-  await put(memory, manifest(9));
+  await storeManifest(memory, encodedManifest(9));
   await follower.poll();
   memory.restore(backup);
   await follower.poll();
@@ -100,20 +97,18 @@
   t.same(newcomer.adopted, [9]);
 });
 
-// As above, but an operator publishes on the restored state before any process
-// has written the newer set back. The publish was accepted, so it must come
-// into force although processes hold a set that the service has lost.
-t.test("a publish after a restore comes into force", async (t) => {
-  const { memory, store, follow } = started();
+// Guards against processes rejecting a publish based on a restored older state.
+t.test("a publish on a restored state comes into force", async (t) => {
+  const { memory, store, follow } = createFixture();
   const { follower, adopted } = follow();
-  await put(memory, manifest(NOW - 2000));
+  await storeManifest(memory, encodedManifest(NOW - 2000));
   const backup = memory.backup();
-  await put(memory, manifest(NOW - 1000));
+  await storeManifest(memory, encodedManifest(NOW - 1000));
   await follower.poll();
   memory.restore(backup);
   const published = await publish({
     store,
-    ...read(EXAMPLE.replace("60000", "90000")),
+    ...readExample(EXAMPLE.replace("60000", "90000")),
     baseRevision: NOW - 2000,
     publishId: "after",
     now: NOW,
@@ -124,7 +119,7 @@
   t.equal(follower.counts.restored, 0);
 });
 
-t.test("a stop does not wait for the watch under way", async (t) => {
+t.test("a stop does not wait for a running watch", async (t) => {
   const store = new MemoryKeyValueStore();
   store.watch = () => new Promise(() => {});
   const follower = new ConfigurationFollower({
@@ -139,19 +134,19 @@
   t.equal(follower.revision, 0);
 });
 
-t.test("never overwrites a set that it can't read", async (t) => {
-  const { memory, follow } = started();
+t.test("never overwrites a manifest that it can't read", async (t) => {
+  const { memory, follow } = createFixture();
   const { follower } = follow();
-  await put(memory, manifest(5));
+  await storeManifest(memory, encodedManifest(5));
   await follower.poll();
-  await put(memory, '{"of": "a later release"}');
+  await storeManifest(memory, '{"of": "a later release"}');
   await follower.poll();
   await follower.poll();
   t.match(follower.counts, { malformed: 1, restored: 0 });
   t.equal(follower.revision, 5);
 });
 
-t.test("polls of a large fleet fit the service and the time in force", (t) => {
+t.test("polls of a large fleet keep to the service's budget and to 12 s", (t) => {
   const delays = [0, 1].map((random) =>
     pollDelay({ fleetSize: 930, failures: 0, random })
   );
@@ -163,8 +158,8 @@
   t.end();
 });
 
-t.test("a watch that is never answered ends within the time in force", (t) => {
-  // A call that an outage of the service swallowed must not hide a publish.
+t.test("a watch without a response delays a publish by less than 12 s", (t) => {
+  // Guards against a call that got no response in an outage hiding a publish.
   const callTimeout = 3000;
   const backoff = pollDelay({ fleetSize: 50, failures: 1, random: 1 });
   const longest = watchDuration(50) + callTimeout + backoff;
--- a/packages/configuration/test/example.ts
+++ b/packages/configuration/test/example.ts
@@ -1,7 +1,7 @@
-/** A small consistent file, shared by the tests. @module */
+/** A small valid configuration file, shared by the tests. @module */
 import { createHash } from "node:crypto";
 import { readObjects } from "../src/mod.ts";
-import type { ReadObjects } from "../src/mod.ts";
+import type { ObjectsFile } from "../src/mod.ts";
 
 export const NOW = Date.parse("2030-01-01T00:00:00Z");
 
@@ -40,8 +40,8 @@
   ]
 }`;
 
-/** Reads a text that is known to be well formed. */
-export function read(text: string): ReadObjects {
+/** Reads a text that must match the schema. */
+export function readExample(text: string): ObjectsFile {
   const read = readObjects(text, "fleet.jsonc");
   if (read.isErr) {
     throw new Error(JSON.stringify(read.error));
