--- a/packages/daemon/src/common/clock.ts
+++ b/packages/daemon/src/common/clock.ts
@@ -1,12 +1,22 @@
-/** The two clocks; decisions get their time from here as an argument. @module */
+/**
+ * The process's monotonic and wall clocks. The decisions package reads no clock;
+ * it gets these times as arguments.
+ * @module
+ */
 import { performance } from "node:perf_hooks";
 
-/** Milliseconds that never jump; for durations, leases and deadlines. */
+/**
+ * Returns the monotonic time in milliseconds, which never jumps; for durations,
+ * leases and deadlines within this process.
+ */
 export function monotonicNow(): number {
   return performance.now();
 }
 
-/** Milliseconds since the epoch; for what people and other processes read. */
+/**
+ * Returns the wall-clock time in milliseconds since the Unix epoch, for times
+ * that people and other processes read.
+ */
 export function wallNow(): number {
   return Date.now();
 }
--- a/packages/daemon/src/common/completes_within.ts
+++ b/packages/daemon/src/common/completes_within.ts
@@ -1,16 +1,19 @@
-/** Bounding a graceful shutdown. @module */
+/** Limits how long a graceful shutdown waits. @module */
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** Resolves when `work` does, or after `limit` milliseconds; true if `work` did. */
+/**
+ * Waits for `work`, at most `timeout` milliseconds. Resolves to whether `work`
+ * completed in time.
+ */
 export async function completesWithin(
   work: Promise<unknown>,
-  limit: number,
+  timeout: number,
 ): Promise<boolean> {
-  const stop = new AbortController();
-  const overdue = sleep(limit, false, { signal: stop.signal }).catch(() =>
+  const timer = new AbortController();
+  const timedOut = sleep(timeout, false, { signal: timer.signal }).catch(() =>
     false
   );
-  const done = await Promise.race([work.then(() => true), overdue]);
-  stop.abort();
+  const done = await Promise.race([work.then(() => true), timedOut]);
+  timer.abort();
   return done;
 }
--- a/packages/daemon/src/common/configuration_sync.ts
+++ b/packages/daemon/src/common/configuration_sync.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration in force in this process: followed through the platform's
- * service, and through peers when that is down.
+ * Keeps this process's configuration up to date from the platform's key-value
+ * service, and from peers while that service is down.
  * @module
  */
 import {
@@ -15,8 +15,11 @@
 /** A peer to which configuration messages can be sent. */
 export type ConfigurationPeer = { send: (message: Message) => void };
 
-/** Milliseconds until another peer is asked in place of one that is silent. */
-const ASK_AGAIN_AFTER = 2000;
+/**
+ * Milliseconds without a response after which the configuration is requested
+ * from another peer.
+ */
+const PULL_RETRY_INTERVAL = 2000;
 
 /** Options of {@link ConfigurationSync}. */
 export type ConfigurationSyncOptions = {
@@ -27,13 +30,19 @@
   log: Log;
 };
 
-/** Follows the published set; answers and asks peers about it. */
+/**
+ * Follows the published configuration, requests newer revisions from peers and
+ * sends the one in force to peers that request it.
+ */
 export class ConfigurationSync {
   readonly #follower: ConfigurationFollower;
   readonly #options: ConfigurationSyncOptions;
   #index: ConfigurationIndex | undefined;
-  /** A peer was asked then and has not answered. */
-  #askedAt = -Infinity;
+  /**
+   * Monotonic time in milliseconds of the last request to a peer that has not
+   * been answered; `-Infinity` if there is none.
+   */
+  #pullSentAt = -Infinity;
 
   constructor(options: ConfigurationSyncOptions) {
     this.#options = options;
@@ -51,23 +60,25 @@
     });
   }
 
-  /** 0 until a configuration is in force. */
+  /** Revision in force; 0 until there is one. */
   get revision(): number {
     return this.#follower.revision;
   }
 
-  /** Undefined until a configuration is in force. */
+  /** Lookups in the configuration in force; `undefined` until there is one. */
   get index(): ConfigurationIndex | undefined {
     return this.#index;
   }
 
+  /** Follows the key-value service until the signal aborts. */
   run(signal: AbortSignal): Promise<void> {
     return this.#follower.run(signal);
   }
 
   /**
-   * A peer said at `now`, in milliseconds, what it has in force. A newer set is
-   * asked for, of one peer at a time: many have it at once, and it is large.
+   * Records the revision that a peer stated at `now` (monotonic milliseconds).
+   * A newer configuration is requested from one peer at a time, because many
+   * peers have it at once and it is large.
    */
   recordPeerRevision(
     peer: ConfigurationPeer,
@@ -75,22 +86,22 @@
     now: number,
   ): void {
     if (revision <= this.revision) return;
-    if (now - this.#askedAt < ASK_AGAIN_AFTER) return;
-    this.#askedAt = now;
+    if (now - this.#pullSentAt < PULL_RETRY_INTERVAL) return;
+    this.#pullSentAt = now;
     peer.send({ type: "pullConfiguration", revision: this.revision });
   }
 
-  /** Answers a peer's question, or takes in its answer. */
+  /** Responds to a peer's request, or adopts the configuration it sent. */
   handleMessage(peer: ConfigurationPeer, message: Message): void {
     if (message.type === "pullConfiguration") {
-      this.#answer(peer, message.revision);
+      this.#sendConfiguration(peer, message.revision);
     } else if (message.type === "configuration") {
-      this.#askedAt = -Infinity;
+      this.#pullSentAt = -Infinity;
       this.#follower.receiveManifest(message.text);
     }
   }
 
-  #answer(peer: ConfigurationPeer, revision: number): void {
+  #sendConfiguration(peer: ConfigurationPeer, revision: number): void {
     const snapshot = this.#follower.activeSnapshot;
     if (!snapshot || snapshot.revision <= revision) return;
     const { text } = snapshot;
--- a/packages/daemon/src/common/end_to_end_headers.ts
+++ b/packages/daemon/src/common/end_to_end_headers.ts
@@ -1,17 +1,17 @@
-/** Headers that pass through, and those that end at a connection. @module */
+/** Separates end-to-end headers from hop-by-hop headers. @module */
 import { HOP_BY_HOP_HEADERS } from "@sycamorepulley/protocol";
 import type { HttpHeaders } from "@sycamorepulley/protocol";
 
-/** `headers` without those of the connection or named in `except`. */
+/** Returns `headers` without hop-by-hop headers and those in `excluded`. */
 export function endToEndHeaders(
   headers: Record<string, string | string[] | undefined>,
-  except: ReadonlySet<string> = new Set(),
+  excluded: ReadonlySet<string> = new Set(),
 ): HttpHeaders {
-  const kept: HttpHeaders = {};
+  const endToEnd: HttpHeaders = {};
   for (const [name, value] of Object.entries(headers)) {
     if (value === undefined) continue;
-    if (HOP_BY_HOP_HEADERS.has(name) || except.has(name)) continue;
-    kept[name] = value;
+    if (HOP_BY_HOP_HEADERS.has(name) || excluded.has(name)) continue;
+    endToEnd[name] = value;
   }
-  return kept;
+  return endToEnd;
 }
--- a/packages/daemon/src/common/identity.ts
+++ b/packages/daemon/src/common/identity.ts
@@ -1,17 +1,17 @@
-/** Who this process is, as it tells its peers. @module */
+/** How this process identifies itself to its peers. @module */
 import { randomUUID } from "node:crypto";
 import { PROTOCOL_VERSION } from "@sycamorepulley/protocol";
 import type { HelloMessage } from "@sycamorepulley/protocol";
 import type { Settings } from "./settings.ts";
 
 /**
- * Unique to this start of this process, so that what an earlier start under
- * the same name sent or asked for is never taken for this one's.
+ * Unique identifier of this run of the process, so that messages and requests
+ * of an earlier run under the same instance name are never attributed to it.
  */
 export const incarnation = randomUUID();
 
-/** The hello that opens every link of this process. */
-export function helloOf(
+/** Creates the message that this process sends first on every link. */
+export function createHello(
   settings: Settings,
   state: { configurationRevision: number; leaving: boolean },
 ): HelloMessage {
@@ -24,11 +24,11 @@
     dataCentre,
     incarnation,
     ...state,
-    ...(settings.role === "sidecar" ? backendOf(settings) : {}),
+    ...(settings.role === "sidecar" ? backendServerFields(settings) : {}),
   };
 }
 
-function backendOf(
+function backendServerFields(
   settings: Settings & { role: "sidecar" },
 ): { service: string; version?: string } {
   const { service, version } = settings.backendServer;
--- a/packages/daemon/src/common/listen.ts
+++ b/packages/daemon/src/common/listen.ts
@@ -1,9 +1,12 @@
-/** Starting servers. @module */
+/** Binds servers to their addresses. @module */
 import { once } from "node:events";
 import type { AddressInfo, Server } from "node:net";
 import type { Address } from "./settings.ts";
 
-/** Listens at `address`; resolves to the port, which was free to choose if 0. */
+/**
+ * Starts to listen at `address` and resolves to the port in use. With port 0 the
+ * operating system chooses a free one.
+ */
 export async function listen(
   server: Server,
   address: Address,
--- a/packages/daemon/src/common/log_environment.ts
+++ b/packages/daemon/src/common/log_environment.ts
@@ -1,4 +1,8 @@
-/** roarr stays silent unless this is set before it loads. @module */
+/**
+ * Enables logging: roarr writes nothing unless `ROARR_LOG` is set before it is
+ * loaded.
+ * @module
+ */
 import process from "node:process";
 
 process.env.ROARR_LOG ??= "true";
--- a/packages/daemon/src/common/membership.ts
+++ b/packages/daemon/src/common/membership.ts
@@ -1,5 +1,5 @@
 /**
- * This process's place in the platform's instance list, and its view of it.
+ * Registers this process in the platform's instance list and reads the list.
  * @module
  */
 import { setTimeout as sleep } from "node:timers/promises";
@@ -7,24 +7,33 @@
 import type { Log } from "./log.ts";
 import type { Metrics } from "./metrics.ts";
 
-/** Shortest time between two reads of the list, in milliseconds. */
-const LEAST_INTERVAL = 1000;
-/** Each process of the fleet spaces all reads by this much, in milliseconds. */
-const INTERVAL_PER_PROCESS = 5.4;
+/** Minimum milliseconds between two reads of the list. */
+const MIN_READ_INTERVAL = 1000;
+/**
+ * Milliseconds that each process of the fleet adds to the interval between
+ * reads, so that the load on the list's service stays the same in large fleets.
+ */
+const READ_INTERVAL_PER_PROCESS = 5.4;
 
 /** Options of {@link Membership}. */
 export type MembershipOptions = {
   list: InstanceList;
   self: Instance;
   fleetSize: number;
-  /** Absent: the list is not read, which is most of its traffic. */
+  /**
+   * Called with the list after each read. If absent the list is not read, which
+   * saves most of the traffic.
+   */
   onInstances?: (instances: Instance[]) => void;
   random: () => number;
   metrics: Metrics;
   log: Log;
 };
 
-/** Registers, reads the list at intervals and deregisters at the end. */
+/**
+ * Registers this process and reads the list at intervals, and deregisters the
+ * process when it stops.
+ */
 export class Membership {
   readonly #options: MembershipOptions;
   readonly #stop = new AbortController();
@@ -36,57 +45,59 @@
     this.#self = options.self;
   }
 
-  /** Registers and reads until {@link deregister}. */
+  /**
+   * Repeats the registration and the read until {@link deregister} is called.
+   */
   async run(): Promise<void> {
     const { signal } = this.#stop;
     while (!signal.aborted) {
       await this.#register();
-      await this.#read();
-      const pause = this.#interval() * (0.75 + this.#options.random() / 2);
+      await this.#readList();
+      const pause = this.#readInterval() * (0.75 + this.#options.random() / 2);
       await sleep(pause, undefined, { signal }).catch(() => {});
     }
   }
 
-  /** States that this process takes no new work. */
+  /** Registers this process as draining: it takes no new work. */
   async announceDraining(): Promise<void> {
     this.#self = { ...this.#self, leaving: true };
     await this.#register();
   }
 
-  /** Takes the process off the list. */
+  /** Removes this process from the list and ends {@link run}. */
   async deregister(): Promise<void> {
     this.#stop.abort();
     await this.#options.list.deregister(this.#self.name);
   }
 
-  #interval(): number {
+  #readInterval(): number {
     return Math.max(
-      LEAST_INTERVAL,
-      this.#options.fleetSize * INTERVAL_PER_PROCESS,
+      MIN_READ_INTERVAL,
+      this.#options.fleetSize * READ_INTERVAL_PER_PROCESS,
     );
   }
 
   async #register(): Promise<void> {
     const registered = await this.#options.list.register(this.#self);
-    this.#noteReachable(registered.isOk);
-    if (registered.isErr) this.#count(registered.error);
+    this.#setReachable(registered.isOk);
+    if (registered.isErr) this.#countError(registered.error);
   }
 
-  async #read(): Promise<void> {
+  async #readList(): Promise<void> {
     const { onInstances } = this.#options;
     if (!onInstances) return;
     const listed = await this.#options.list.list();
-    if (listed.isErr) return this.#count(listed.error);
-    // What is known stays known while the list can't be read.
+    if (listed.isErr) return this.#countError(listed.error);
+    // While the list can't be read, the instances read last stay in use.
     onInstances(listed.value);
   }
 
-  #count(error: { step: string; reason: string }): void {
+  #countError(error: { step: string; reason: string }): void {
     const { step, reason } = error;
     this.#options.metrics.platformErrors.inc({ step, reason });
   }
 
-  #noteReachable(reachable: boolean): void {
+  #setReachable(reachable: boolean): void {
     if (reachable === this.#reachable) return;
     this.#reachable = reachable;
     if (reachable) this.#options.log.info("instance list reachable");
--- a/packages/daemon/src/common/metrics.ts
+++ b/packages/daemon/src/common/metrics.ts
@@ -1,10 +1,23 @@
-/** Counters and gauges of one process, by `prom-client`. @module */
+/** Prometheus metrics of one process, by `prom-client`. @module */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import { collectDefaultMetrics } from "prom-client";
 
-const SECONDS = [0.001, 0.005, 0.02, 0.1, 0.3, 1, 1.3, 3, 10, 30, 120];
+/** Upper bounds of the buckets for the time to the first byte, in seconds. */
+const FIRST_BYTE_BUCKETS = [
+  0.001,
+  0.005,
+  0.02,
+  0.1,
+  0.3,
+  1,
+  1.3,
+  3,
+  10,
+  30,
+  120,
+];
 
-/** Every metric that the daemon states; names are part of its interface. */
+/** All metrics of the daemon; their names are part of its interface. */
 export class Metrics {
   readonly registry = new Registry();
 
@@ -77,7 +90,7 @@
     name: "sycamorepulley_first_byte_seconds",
     help: "Time from a request's arrival to its answer's first byte",
     labelNames: ["service", "tier"],
-    buckets: SECONDS,
+    buckets: FIRST_BYTE_BUCKETS,
     registers: [this.registry],
   });
 
@@ -112,7 +125,7 @@
   }
 }
 
-/** A counter's values summed by one of its labels. */
+/** Returns the sums of a counter's values for each value of one label. */
 export async function sumByLabel(
   counter: Counter<string>,
   label: string,
--- a/packages/daemon/src/common/process_components.ts
+++ b/packages/daemon/src/common/process_components.ts
@@ -1,4 +1,4 @@
-/** What both roles of the daemon are built from. @module */
+/** Components that both roles of the daemon use. @module */
 import {
   CallBudget,
   callBudgetOptions,
@@ -9,14 +9,14 @@
 import type { HelloMessage } from "@sycamorepulley/protocol";
 import { monotonicNow } from "./clock.ts";
 import { ConfigurationSync } from "./configuration_sync.ts";
-import { helloOf } from "./identity.ts";
+import { createHello } from "./identity.ts";
 import { createLog } from "./log.ts";
 import type { Log } from "./log.ts";
 import { Metrics } from "./metrics.ts";
 import { createRandom } from "./random.ts";
 import type { Settings } from "./settings.ts";
 
-/** Parts that outlive every request and link of the process. */
+/** Components that live as long as the process. */
 export type ProcessComponents = {
   metrics: Metrics;
   log: Log;
@@ -24,13 +24,15 @@
   keyValueStore: HttpKeyValueStore;
   instanceList: HttpInstanceList;
   configuration: ConfigurationSync;
+  /** Monotonic time in milliseconds at which the process started. */
   startedAt: number;
+  /** Returns a random number in [0, 1). */
   random: () => number;
-  /** As the process stands now. */
+  /** Creates a hello message with the process's current state. */
   createHello: () => HelloMessage;
 };
 
-/** Builds the parts; starts nothing. */
+/** Creates the components without starting them. */
 export function createComponents(settings: Settings): ProcessComponents {
   const { platform } = settings;
   const metrics = new Metrics();
@@ -60,7 +62,7 @@
     startedAt: monotonicNow(),
     random,
     createHello: () =>
-      helloOf(settings, {
+      createHello(settings, {
         configurationRevision: configuration.revision,
         leaving: lifecycle.state === "leaving",
       }),
--- a/packages/daemon/src/common/protocol_server.ts
+++ b/packages/daemon/src/common/protocol_server.ts
@@ -1,4 +1,4 @@
-/** The port on which other processes of the system open links. @module */
+/** Server for the links that other processes of the system open. @module */
 import { createServer } from "node:net";
 import type { Socket } from "node:net";
 import { acceptLink } from "@sycamorepulley/protocol";
@@ -12,24 +12,28 @@
 import type { Metrics } from "./metrics.ts";
 import type { Address } from "./settings.ts";
 
+/** Milliseconds that a peer has to send its hello message. */
 const HELLO_TIMEOUT = 2000;
 
 /** Options of {@link startProtocolServer}. */
 export type ProtocolServerOptions = {
   address: Address;
   createHello: () => HelloMessage;
-  /** Most links at a time; more are closed at once. */
+  /** Maximum number of open links; further ones are closed at once. */
   maxLinks: number;
-  /** Resolves when the link has ended, with the error that ended it. */
+  /**
+   * Handles a link; resolves once it has ended, to the error that ended it, if
+   * any.
+   */
   serveLink: (open: EstablishedLink) => Promise<LinkError | undefined>;
   metrics: Metrics;
   log: Log;
 };
 
-/** A started server and the port it got. */
+/** A running server and the port that it listens on. */
 export type ProtocolServer = { port: number; close: () => void };
 
-/** Accepts links and runs one task for each. */
+/** Starts a server that accepts links and handles each in its own task. */
 export async function startProtocolServer(
   options: ProtocolServerOptions,
 ): Promise<ProtocolServer> {
@@ -54,13 +58,15 @@
   socket: Socket,
   options: ProtocolServerOptions,
 ): Promise<void> {
-  const { createHello: hello, serveLink: serve, metrics, log } = options;
+  const { createHello, serveLink, metrics, log } = options;
   const accepted = await acceptLink({
     socket,
-    hello: hello(),
+    hello: createHello(),
     timeout: HELLO_TIMEOUT,
   });
-  const error = accepted.isErr ? accepted.error : await serve(accepted.value);
+  const error = accepted.isErr
+    ? accepted.error
+    : await serveLink(accepted.value);
   if (!error) return;
   const { step, reason, peer } = error;
   metrics.linkErrors.inc({ step, reason });
--- a/packages/daemon/src/common/read_settings.ts
+++ b/packages/daemon/src/common/read_settings.ts
@@ -1,4 +1,4 @@
-/** Reading and checking a settings file. @module */
+/** Reads and validates a settings file. @module */
 import { readFileSync } from "node:fs";
 import { getNodeValue, parseTree, printParseErrorCode } from "jsonc-parser";
 import type { Node, ParseError } from "jsonc-parser";
@@ -8,7 +8,7 @@
 import { settingsSchema } from "./settings.ts";
 import type { Settings } from "./settings.ts";
 
-/** One fault of a settings file; `line` counts from 1. */
+/** An error in a settings file; `line` counts from 1. */
 export type SettingsProblem = {
   file: string;
   line: number;
@@ -16,14 +16,14 @@
   message: string;
 };
 
-/** One line for people: file, line, field and what to do. */
+/** Formats a problem as one line: file, line, field and what to change. */
 export function describeProblem(problem: SettingsProblem): string {
   const { file, line, field, message } = problem;
-  const place = field === "" ? "" : `${field}: `;
-  return `${file}:${line}: ${place}${message}`;
+  const fieldPrefix = field === "" ? "" : `${field}: `;
+  return `${file}:${line}: ${fieldPrefix}${message}`;
 }
 
-/** All problems of the file at `path`, or its settings. */
+/** Returns the settings in the file at `path`, or all its problems. */
 export function readSettings(
   path: string,
 ): Result<Settings, SettingsProblem[]> {
@@ -40,7 +40,10 @@
   }
 }
 
-/** As {@link readSettings}, for text already read. */
+/**
+ * Returns the settings in `text`, or all its problems; `file` is the name that
+ * the problems state.
+ */
 export function parseSettings(
   text: string,
   file: string,
@@ -67,7 +70,7 @@
   }
   return errors.map((error) => ({
     file,
-    line: lineAt(text, error.offset),
+    line: lineNumberAt(text, error.offset),
     field: "",
     message: `not JSON with comments: ${printParseErrorCode(error.error)}`,
   }));
@@ -85,14 +88,17 @@
   const keys = (issue.path ?? []).map((item) => item.key as string | number);
   return {
     file,
-    line: lineAt(text, nearestNode(root, keys).offset),
+    line: lineNumberAt(text, deepestNode(root, keys).offset),
     field: keys.join("."),
     message: issue.message,
   };
 }
 
-/** The deepest node on the way to a field that may be missing. */
-function nearestNode(root: Node, keys: (string | number)[]): Node {
+/**
+ * Returns the node of the field at `keys` or, if the field is missing, of its
+ * nearest ancestor that exists.
+ */
+function deepestNode(root: Node, keys: (string | number)[]): Node {
   for (let length = keys.length; length > 0; length -= 1) {
     const node = findNodeAtLocation(root, keys.slice(0, length));
     if (node) return node;
@@ -100,6 +106,6 @@
   return root;
 }
 
-function lineAt(text: string, offset: number): number {
+function lineNumberAt(text: string, offset: number): number {
   return text.slice(0, offset).split("\n").length;
 }
--- a/packages/daemon/src/common/running_daemon.ts
+++ b/packages/daemon/src/common/running_daemon.ts
@@ -1,8 +1,8 @@
-/** A started daemon of either role. @module */
+/** The interface of a running daemon of either role. @module */
 
-/** Ports as they were got, and the way to stop. */
+/** A running daemon: the ports it listens on, and how to stop it. */
 export type RunningDaemon = {
   ports: { http?: number; status: number; protocol: number };
-  /** Graceful shutdown: resolves once nothing runs any more. */
+  /** Shuts down gracefully; resolves once the daemon has stopped. */
   stop: () => Promise<void>;
 };
--- a/packages/daemon/src/common/settings.ts
+++ b/packages/daemon/src/common/settings.ts
@@ -1,48 +1,61 @@
 /**
- * A daemon's settings file: JSON with comments, checked whole before anything
- * starts. Durations are milliseconds, sizes bytes.
+ * Schema of a daemon's settings file. The file is JSON with comments and is
+ * validated as a whole before anything starts. Durations are in milliseconds,
+ * sizes in bytes.
  * @module
  */
 import * as v from "valibot";
 
-const name = v.pipe(
+const nameSchema = v.pipe(
   v.string(),
-  v.regex(/^[a-zA-Z0-9][a-zA-Z0-9_.-]{0,62}$/, "use letters, digits, -_."),
+  v.regex(
+    /^[a-zA-Z0-9][a-zA-Z0-9_.-]{0,62}$/,
+    "use up to 63 letters, digits, -_.",
+  ),
 );
-const port = v.pipe(
+const portSchema = v.pipe(
   v.number(),
   v.integer(),
   v.minValue(0, "use a port from 0 (any free one) to 65535"),
   v.maxValue(65535, "use a port from 0 (any free one) to 65535"),
 );
-const positive = v.pipe(v.number(), v.safeInteger(), v.minValue(1));
+const positiveInteger = v.pipe(v.number(), v.safeInteger(), v.minValue(1));
 
 const addressSchema = v.strictObject({
   host: v.pipe(v.string(), v.ip("use a numeric IP address")),
-  port,
+  port: portSchema,
 });
-/** Where a server listens. */
+/** Address and port that a server listens on. */
 export type Address = v.InferOutput<typeof addressSchema>;
 
 const platformSchema = v.strictObject({
   keyValueStore: v.pipe(v.string(), v.url()),
   instanceList: v.pipe(v.string(), v.url()),
-  /** Processes in the whole fleet; spaces and bounds this one's calls. */
-  fleetSize: v.optional(positive, 32),
+  /**
+   * Number of processes in the whole fleet; this process spaces and limits its
+   * calls to the platform accordingly.
+   */
+  fleetSize: v.optional(positiveInteger, 32),
 });
 
-const common = {
-  instance: name,
-  dataCentre: name,
-  region: v.optional(name, "default"),
+const commonFields = {
+  instance: nameSchema,
+  dataCentre: nameSchema,
+  region: v.optional(nameSchema, "default"),
   status: addressSchema,
   protocol: addressSchema,
   platform: platformSchema,
-  /** The protocol's address that peers are told, where it differs. */
+  /**
+   * Host at which peers reach the protocol server, if it differs from the
+   * address that the server listens on.
+   */
   advertisedHost: v.optional(v.pipe(v.string(), v.ip())),
-  /** Longest time a graceful shutdown waits for running requests. */
-  shutdownWait: v.optional(positive, 15 * 60 * 1000),
-  /** How long to keep answering after a stop while the balancer's list lags. */
+  /** Maximum time that a graceful shutdown waits for running requests. */
+  shutdownWait: v.optional(positiveInteger, 15 * 60 * 1000),
+  /**
+   * How long an entry still serves new requests after a stop, until the load
+   * balancer has removed it from its list.
+   */
   shutdownLag: v.optional(
     v.pipe(v.number(), v.safeInteger(), v.minValue(0)),
     3000,
@@ -51,50 +64,53 @@
 
 const entrySchema = v.strictObject({
   role: v.literal("entry"),
-  ...common,
+  ...commonFields,
   http: addressSchema,
-  /** Bounds of this entry over all services. */
+  /** Limits of this entry for all services together. */
   bounds: v.optional(
     v.strictObject({
-      connections: v.optional(positive, 10_000),
-      headerBytes: v.optional(positive, 16 * 1024),
-      links: v.optional(positive, 600),
+      connections: v.optional(positiveInteger, 10_000),
+      headerBytes: v.optional(positiveInteger, 16 * 1024),
+      links: v.optional(positiveInteger, 600),
     }),
     {},
   ),
 });
-/** Settings of the entry role. */
+/** Settings of an entry. */
 export type EntrySettings = v.InferOutput<typeof entrySchema>;
 
 const sidecarSchema = v.strictObject({
   role: v.literal("sidecar"),
-  ...common,
+  ...commonFields,
   backendServer: v.strictObject({
     url: v.pipe(v.string(), v.url()),
-    service: name,
-    version: v.optional(name),
+    service: nameSchema,
+    version: v.optional(nameSchema),
     kind: v.picklist(["model", "plain"]),
     healthPath: v.optional(v.pipe(v.string(), v.startsWith("/")), "/health"),
-    healthInterval: v.optional(positive, 1000),
-    /** Header in which the server states the requests a second that it takes. */
+    healthInterval: v.optional(positiveInteger, 1000),
+    /** Header in which the server states how many requests per second it accepts. */
     limitHeader: v.optional(
-      v.pipe(v.string(), v.regex(/^[A-Za-z0-9-]+$/, "use a header's name")),
+      v.pipe(
+        v.string(),
+        v.regex(/^[A-Za-z0-9-]+$/, "use a header name: letters, digits, -"),
+      ),
       "X-Server-Limit",
     ),
   }),
   bounds: v.optional(
     v.strictObject({
-      links: v.optional(positive, 600),
-      waiting: v.optional(positive, 2000),
-      answerBytes: v.optional(positive, 16 * 1024 * 1024),
+      links: v.optional(positiveInteger, 600),
+      waiting: v.optional(positiveInteger, 2000),
+      answerBytes: v.optional(positiveInteger, 16 * 1024 * 1024),
     }),
     {},
   ),
 });
-/** Settings of the sidecar role. */
+/** Settings of a sidecar. */
 export type SidecarSettings = v.InferOutput<typeof sidecarSchema>;
 
-/** What a settings file holds. */
+/** Schema of a settings file. */
 export const settingsSchema = v.variant("role", [entrySchema, sidecarSchema]);
 /** Settings of either role. */
 export type Settings = v.InferOutput<typeof settingsSchema>;
--- a/packages/daemon/src/common/status_server.ts
+++ b/packages/daemon/src/common/status_server.ts
@@ -1,4 +1,4 @@
-/** The operators' HTTP port: metrics, health and status. @module */
+/** HTTP server for operators: metrics, health and status. @module */
 import { createServer } from "node:http";
 import type { Server } from "node:http";
 import polka from "polka";
@@ -17,33 +17,34 @@
   getStatus: () => Promise<Status>;
 };
 
-/** A started server and the port it got. */
+/** A running server and the port that it listens on. */
 export type StatusServer = { port: number; close: () => void };
 
-/** Serves `/metrics`, `/healthz`, `/readyz` and `/status`. */
+/** Starts a server for `/metrics`, `/healthz`, `/readyz` and `/status`. */
 export async function startStatusServer(
   options: StatusServerOptions,
 ): Promise<StatusServer> {
-  const { address, metrics, isReady: ready, getStatus: status } = options;
+  const { address, metrics, isReady, getStatus } = options;
   const application = polka()
     .get("/healthz", (_request, response) => {
       response.end("ok\n");
     })
     .get("/readyz", (_request, response) => {
-      response.statusCode = ready() ? 200 : 503;
-      response.end(ready() ? "ready\n" : "not ready\n");
+      response.statusCode = isReady() ? 200 : 503;
+      response.end(isReady() ? "ready\n" : "not ready\n");
     })
     .get("/metrics", async (_request, response) => {
-      // Gauges are set where the status is drawn up.
-      await status();
+      // Computing the status also updates the gauges.
+      await getStatus();
       response.setHeader("content-type", metrics.registry.contentType);
       response.end(await metrics.registry.metrics());
     })
     .get("/status", async (_request, response) => {
       response.setHeader("content-type", "application/json");
-      response.end(`${JSON.stringify(await status(), undefined, 2)}\n`);
+      response.end(`${JSON.stringify(await getStatus(), undefined, 2)}\n`);
     });
-  // polka takes requests only of servers that it starts itself.
+  // polka handles requests only of servers that it starts itself, so they are
+  // passed to its handler here.
   const server: Server = createServer((request, response) =>
     application.handler(request as Request, response)
   );
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `sycamorepulleyd`: one process of the system, entry or sidecar. @module */
+/** `sycamorepulleyd`: runs one entry or sidecar process. @module */
 import process from "node:process";
 import { cac } from "cac";
 import { createLog } from "./common/log.ts";
@@ -10,8 +10,8 @@
 import { startSidecar } from "./sidecar/start_sidecar.ts";
 
 const VERSION = "0.1.0";
-const EXIT_SETTINGS = 2;
-const EXIT_START = 1;
+const EXIT_CODE_INVALID_SETTINGS = 2;
+const EXIT_CODE_START_FAILED = 1;
 
 function start(settings: Settings): Promise<RunningDaemon> {
   return settings.role === "entry"
@@ -22,14 +22,14 @@
 async function run(options: { settings?: string }): Promise<void> {
   if (typeof options.settings !== "string") {
     console.error("sycamorepulleyd: pass --settings FILE; see --help");
-    process.exit(EXIT_SETTINGS);
+    process.exit(EXIT_CODE_INVALID_SETTINGS);
   }
   const settings = readSettings(options.settings);
   if (settings.isErr) {
     for (const problem of settings.error) {
       console.error(describeProblem(problem));
     }
-    process.exit(EXIT_SETTINGS);
+    process.exit(EXIT_CODE_INVALID_SETTINGS);
   }
   await runDaemon(settings.value);
 }
@@ -44,7 +44,7 @@
   });
   let stopping = false;
   const stop = () => {
-    // A second signal must not cut what the first one lets finish.
+    // A second signal must not interrupt the graceful shutdown of the first.
     if (stopping) return;
     stopping = true;
     void daemon.stop().then(() => process.exit(0));
@@ -61,7 +61,7 @@
   .action((options) =>
     run(options).catch((error: unknown) => {
       console.error(`sycamorepulleyd: can't start: ${String(error)}`);
-      process.exit(EXIT_START);
+      process.exit(EXIT_CODE_START_FAILED);
     })
   );
 program.help();
--- a/packages/daemon/test/read_settings_test.ts
+++ b/packages/daemon/test/read_settings_test.ts
@@ -6,7 +6,7 @@
 } from "../src/common/read_settings.ts";
 
 const entry = `{
-  // One of the entries behind the balancer.
+  // One of the entries behind the load balancer.
   "role": "entry",
   "instance": "entry-1",
   "dataCentre": "maribor",
@@ -24,37 +24,37 @@
   return parsed.isErr ? parsed.error.map(describeProblem) : [];
 }
 
-t.test("comments and trailing commas are taken", (t) => {
+t.test("comments and trailing commas are accepted", (t) => {
   const parsed = parseSettings(entry, "entry.jsonc");
   t.ok(parsed.isOk && parsed.value.role === "entry");
   t.end();
 });
 
-t.test("a wrong port names file, line and field", (t) => {
+t.test("an invalid port is reported with file, line and field", (t) => {
   const text = entry.replace(`"port": 0`, `"port": 70000`);
   t.match(problems(text)[0], /^entry\.jsonc:6: http\.port: use a port/);
   t.end();
 });
 
-t.test("a missing field is named", (t) => {
+t.test("a missing field is reported", (t) => {
   const text = entry.replace(`"dataCentre": "maribor",`, "");
   t.match(problems(text)[0], /dataCentre/);
   t.end();
 });
 
-t.test("a field that does not exist is named", (t) => {
+t.test("an unknown field is reported", (t) => {
   const text = entry.replace(`"instance"`, `"instanse": 1, "instance"`);
   t.match(problems(text)[0], /instanse/);
   t.end();
 });
 
-t.test("broken JSON names the line", (t) => {
+t.test("a syntax error is reported with its line", (t) => {
   const text = `{\n  "role": "entry"\n  "instance": 1 }`;
   t.match(problems(text)[0], /:3: not JSON/);
   t.end();
 });
 
-t.test("the example settings are taken", (t) => {
+t.test("the example settings are valid", (t) => {
   for (const role of ["entry", "sidecar"]) {
     const read = readSettings(`examples/${role}.jsonc`);
     t.equal(read.isErr ? read.error : read.value.role, role);
@@ -62,7 +62,7 @@
   t.end();
 });
 
-t.test("a file that is not there", (t) => {
+t.test("a missing file is reported", (t) => {
   const read = readSettings("examples/none.jsonc");
   t.match(read.isErr && read.error[0]?.message, /can't be read/);
   t.end();
