--- a/packages/daemon/src/common/membership.ts
+++ b/packages/daemon/src/common/membership.ts
@@ -21,8 +21,8 @@
   self: Instance;
   fleetSize: number;
   /**
-   * Called with the list after each read. If absent the list is not read, which
-   * saves most of the traffic.
+   * Called with the list after each successful read. If absent the list is not
+   * read, which saves most of the traffic.
    */
   onInstances?: (instances: Instance[]) => void;
   random: () => number;
