--- a/packages/daemon/src/moves/evidence_link.ts
+++ b/packages/daemon/src/moves/evidence_link.ts
@@ -1,8 +1,9 @@
-/** An entry's link to the driver of a move. @module */
+/** The link on which an entry sends its evidence to a move's driver. @module */
 import * as v from "valibot";
 import { openLink } from "@sycamorepulley/protocol";
 import type { HelloMessage, Link, Message } from "@sycamorepulley/protocol";
 
+/** Milliseconds within which the link must be open. */
 const OPEN_TIMEOUT = 1000;
 
 const addressSchema = v.object({
@@ -11,17 +12,20 @@
   port: v.number(),
 });
 
-/** Opened on demand; opened again when the driver changes. */
+/**
+ * Opens the link when there is something to send, and opens a new one when the
+ * driver has changed or the link was closed.
+ */
 export class EvidenceLink {
-  readonly #hello: () => HelloMessage;
+  readonly #createHello: () => HelloMessage;
   #address = "";
   #link: Link | undefined;
 
-  constructor(hello: () => HelloMessage) {
-    this.#hello = hello;
+  constructor(createHello: () => HelloMessage) {
+    this.#createHello = createHello;
   }
 
-  /** Sends to the driver at `address`, as its lease states it. */
+  /** Sends a message to the driver at `address`, the value of its lease key. */
   async send(address: string, message: Message): Promise<void> {
     if (address !== this.#address || this.#link?.closed !== false) {
       await this.#open(address);
@@ -39,20 +43,25 @@
     const parsed = v.safeParse(addressSchema, JSON.parse(address));
     if (!parsed.success) return;
     const { host, port } = parsed.output;
-    const hello = this.#hello();
+    const hello = this.#createHello();
     const opened = await openLink({ host, port, hello, timeout: OPEN_TIMEOUT });
     if (opened.isErr) return;
     this.#address = address;
     this.#link = opened.value.link;
-    void drain(opened.value.messages);
+    void discardMessages(opened.value.messages);
   }
 }
 
-/** Nothing is expected; reading notices when the driver is gone. */
-async function drain(messages: AsyncGenerator<Message, void>): Promise<void> {
+/**
+ * Reads and discards messages. The driver sends none, but reading detects that
+ * the link has been closed.
+ */
+async function discardMessages(
+  messages: AsyncGenerator<Message, void>,
+): Promise<void> {
   try {
     for await (const _ of messages);
   } catch {
-    // The link is closed; the next send opens another.
+    // The link is closed; the next message opens another.
   }
 }
--- a/packages/daemon/src/moves/move_controller.ts
+++ b/packages/daemon/src/moves/move_controller.ts
@@ -1,5 +1,7 @@
 /**
- * Every move that an entry knows, and the task that keeps them up to date.
+ * All moves that an entry knows, and the task that keeps them up to date. A move
+ * shifts a service's requests step by step from one version of its backend
+ * servers to the next.
  * @module
  */
 import { setTimeout as sleep } from "node:timers/promises";
@@ -22,96 +24,113 @@
 import type { StoredMove } from "./stored_move.ts";
 import type { HelloMessage } from "@sycamorepulley/protocol";
 
-/** Shortest time between two rounds, in milliseconds. */
-const LEAST_INTERVAL = 1000;
-/** Each entry of the fleet spaces the rounds by this much, in milliseconds. */
-const INTERVAL_PER_ENTRY = 10;
+/** Minimum milliseconds between two rounds. */
+const MIN_ROUND_INTERVAL = 1000;
+/** Milliseconds that each entry of the fleet adds to the time between rounds. */
+const ROUND_INTERVAL_PER_ENTRY = 10;
 
 /** Options of {@link MoveController}. */
 export type MoveControllerOptions = {
   store: KeyValueStore;
   index: () => ConfigurationIndex | undefined;
+  /** Returns the address at which this entry receives evidence. */
   ownAddress: () => DriverAddress;
   createHello: () => HelloMessage;
-  /** Entries in the fleet, as far as listed. */
+  /** Returns the number of entries in the instance list. */
   entryCount: () => number;
-  /** Share of a service's requests that a version's servers can carry. */
+  /**
+   * Returns the share, 0 to 1, of a service's current requests that the servers
+   * of a version can carry.
+   */
   capacityShare: (service: string, version: string) => number;
-  /** Hands a record on to the service's sidecars, for entries to come. */
+  /**
+   * Sends a record to the service's sidecars, which pass it on to entries that
+   * connect later.
+   */
   distributeRecord: (service: string, text: string) => void;
   random: () => number;
   log: Log;
 };
 
-type Known = { view: ServiceMove; driver: MoveDriver };
+type KnownMove = { serviceMove: ServiceMove; driver: MoveDriver };
 
-/** Chooses versions, gathers evidence, and drives where it holds the lease. */
+/**
+ * Chooses the version for each request, collects evidence, and drives the moves
+ * whose lease this entry holds.
+ */
 export class MoveController {
   readonly #options: MoveControllerOptions;
-  readonly #known = new Map<string, Known>();
+  readonly #moves = new Map<string, KnownMove>();
   readonly #links = new Map<string, EvidenceLink>();
 
   constructor(options: MoveControllerOptions) {
     this.#options = options;
   }
 
-  /** The version for a service's next request; undefined: any. */
+  /**
+   * Returns the version for a service's next request; a version of `undefined`
+   * allows any.
+   */
   chooseVersion(
     service: string,
   ): VersionChoice | { version: string | undefined } {
     const index = this.#options.index();
     const live = index?.liveVersion(service)?.name;
     const now = wallNow();
-    for (const { view } of this.#known.values()) {
-      if (view.move.service !== service || view.move.from !== live) continue;
-      if (view.effectiveOutcome(now) === "takenBack") continue;
-      return view.choose(now, this.#options.entryCount());
+    for (const { serviceMove } of this.#moves.values()) {
+      if (
+        serviceMove.move.service !== service || serviceMove.move.from !== live
+      ) continue;
+      if (serviceMove.effectiveOutcome(now) === "takenBack") continue;
+      return serviceMove.chooseVersion(now, this.#options.entryCount());
     }
     return { version: live };
   }
 
-  /** What became of a request whose version {@link chooseVersion} gave. */
+  /** Records the end of a request whose version {@link chooseVersion} chose. */
   recordCall(
     choice: VersionChoice,
     call: { route: string; failed: boolean; slowness?: number | undefined },
   ): void {
-    this.#known.get(choice.move)?.view.ended(choice.side, call);
+    this.#moves.get(choice.move)?.serviceMove.recordCall(choice.side, call);
   }
 
-  /** The request of a choice did not run. */
+  /** Records that the request did not run. */
   recordNotRun(choice: VersionChoice): void {
-    this.#known.get(choice.move)?.view.notRun(choice.side);
+    this.#moves.get(choice.move)?.serviceMove.recordNotRun(choice.side);
   }
 
-  /** A record that a peer holds. */
+  /** Adopts a record that a peer sent, if it is newer. */
   receiveRecord(text: string): void {
     const stored = decodeStoredMove(text);
-    if (stored) this.#adopt(stored);
+    if (stored) this.#adoptRecord(stored);
   }
 
-  /** Evidence that another entry sent because this one drives. */
+  /** Adds the evidence that another entry sent to this one as the move's driver. */
   receiveEvidence(move: string, evidence: RouteEvidence[]): void {
-    this.#known.get(move)?.driver.observe(evidence);
+    this.#moves.get(move)?.driver.addEvidence(evidence);
   }
 
   status(): MoveStatus[] {
     const now = wallNow();
-    return [...this.#known.values()].map(({ view }) => view.status(now));
+    return [...this.#moves.values()].map(({ serviceMove }) =>
+      serviceMove.status(now)
+    );
   }
 
-  /** Follows, reports and drives until the signal aborts. */
+  /** Runs a round of every move at intervals until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       this.#syncWithConfiguration();
-      for (const known of this.#known.values()) await this.#round(known);
+      for (const known of this.#moves.values()) await this.#runRound(known);
       const interval = Math.max(
-        LEAST_INTERVAL,
-        this.#options.entryCount() * INTERVAL_PER_ENTRY,
+        MIN_ROUND_INTERVAL,
+        this.#options.entryCount() * ROUND_INTERVAL_PER_ENTRY,
       );
       const pause = interval * (0.75 + this.#options.random() / 2);
       await sleep(pause, undefined, { signal }).catch(() => {});
     }
-    for (const { driver } of this.#known.values()) await driver.stop();
+    for (const { driver } of this.#moves.values()) await driver.stop();
     for (const link of this.#links.values()) link.close();
   }
 
@@ -119,56 +138,69 @@
     const moves = this.#options.index()?.objects.moves ?? [];
     const names = new Set(moves.map((move) => move.name));
     for (const move of moves) {
-      if (!this.#known.has(move.name)) this.#add(move);
+      if (!this.#moves.has(move.name)) this.#addMove(move);
     }
-    for (const [name, { driver }] of this.#known) {
+    for (const [name, { driver }] of this.#moves) {
       if (names.has(name)) continue;
       void driver.stop();
-      this.#known.delete(name);
+      this.#moves.delete(name);
     }
   }
 
-  #add(move: Move): void {
-    const { store, ownAddress: self, capacityShare: room, random, log } =
-      this.#options;
+  #addMove(move: Move): void {
+    const {
+      store,
+      ownAddress,
+      capacityShare,
+      random,
+      log,
+    } = this.#options;
     const firstRemainder = random();
-    const view = new ServiceMove({ move, now: wallNow(), firstRemainder });
+    const serviceMove = new ServiceMove({
+      move,
+      now: wallNow(),
+      firstRemainder,
+    });
     const driver = new MoveDriver({
       move,
       store,
-      self: self(),
-      room: () => room(move.service, move.to),
-      onRecord: (stored) => this.#adopt(stored),
+      ownAddress: ownAddress(),
+      capacityShare: () => capacityShare(move.service, move.to),
+      onRecord: (stored) => this.#adoptRecord(stored),
       log,
     });
-    this.#known.set(move.name, { view, driver });
+    this.#moves.set(move.name, { serviceMove, driver });
   }
 
-  async #round(known: Known): Promise<void> {
-    const { view, driver } = known;
+  async #runRound(known: KnownMove): Promise<void> {
+    const { serviceMove, driver } = known;
     const now = wallNow();
-    const evidence = view.takeEvidence(now);
-    const { phase } = view.stored.record;
+    const evidence = serviceMove.flushEvidence(now);
+    const { phase } = serviceMove.stored.record;
     if (phase === "complete" || phase === "takenBack") {
-      // The old version's last calls are told too, but nothing is decided.
+      // Calls that end after the move, such as the last ones of the old version,
+      // are still collected but decide nothing.
       await driver.stop();
       return;
     }
-    driver.observe(evidence);
-    await driver.step(now);
-    if (driver.driving) return;
-    await this.#follow(view);
-    await this.#report(view.move.name, evidence);
+    driver.addEvidence(evidence);
+    await driver.runRound(now);
+    if (driver.isDriving) return;
+    await this.#readRecord(serviceMove);
+    await this.#reportEvidence(serviceMove.move.name, evidence);
   }
 
-  async #follow(view: ServiceMove): Promise<void> {
-    const found = await this.#options.store.get(moveKey(view.move.name));
+  async #readRecord(serviceMove: ServiceMove): Promise<void> {
+    const found = await this.#options.store.get(moveKey(serviceMove.move.name));
     if (found.isErr || found.value === undefined) return;
     this.receiveRecord(found.value.value);
   }
 
-  /** Sends own evidence to whoever drives. */
-  async #report(move: string, evidence: RouteEvidence[]): Promise<void> {
+  /** Sends this entry's evidence to the move's driver. */
+  async #reportEvidence(
+    move: string,
+    evidence: RouteEvidence[],
+  ): Promise<void> {
     if (evidence.length === 0) return;
     const link = this.#links.get(move) ??
       new EvidenceLink(this.#options.createHello);
@@ -178,9 +210,9 @@
     await link.send(driver.value.value, { type: "evidence", move, evidence });
   }
 
-  #adopt(stored: StoredMove): void {
-    const view = this.#known.get(stored.record.move)?.view;
-    if (!view?.adopt(stored)) return;
+  #adoptRecord(stored: StoredMove): void {
+    const serviceMove = this.#moves.get(stored.record.move)?.serviceMove;
+    if (!serviceMove?.adopt(stored)) return;
     this.#options.distributeRecord(
       stored.record.service,
       encodeStoredMove(stored),
--- a/packages/daemon/src/moves/move_driver.ts
+++ b/packages/daemon/src/moves/move_driver.ts
@@ -1,12 +1,15 @@
 /**
- * Drives one move while it holds the move's lease: judges the evidence of all
- * entries and writes each step by compare-and-swap.
+ * Drives one move while this process holds the move's lease: evaluates the
+ * evidence of all entries and writes each step of the move's record by
+ * compare-and-swap.
  *
- * Failures it guards against: a driver that dies (its lease lapses and another
- * takes over), one that pauses past its lease and wakes (the successor has
- * raised the fencing number by writing the record, so the sleeper's swap finds
- * another revision and changes nothing), and a write whose answer is lost (the
- * record is read again before the next step).
+ * Handles these failures:
+ * - The driver crashes: its lease expires and another process takes over.
+ * - The driver is paused for longer than its lease lasts: its successor has
+ *   raised the fencing number by writing the record, so the compare-and-swap of
+ *   the paused driver finds another revision and changes nothing.
+ * - The response to a write is lost: the record is read again before the next
+ *   step.
  * @module
  */
 import { mergeEvidence, MoveJudge, nextStep } from "@sycamorepulley/decisions";
@@ -18,63 +21,71 @@
   decodeStoredMove,
   driverKey,
   encodeStoredMove,
-  firstRecord,
+  initialRecord,
   moveKey,
 } from "./stored_move.ts";
 import type { StoredMove } from "./stored_move.ts";
 
-/** Milliseconds that a driver's lease lasts unrenewed. */
-const LEASE_DURATION = 8000;
+/** Milliseconds after which a driver's lease expires unless it is renewed. */
+const LEASE_TTL = 8000;
 
-/** Who drives and where it takes evidence. */
+/** The instance that drives a move and the address at which it receives evidence. */
 export type DriverAddress = { instance: string; host: string; port: number };
 
 /** Options of {@link MoveDriver}. */
 export type MoveDriverOptions = {
   move: Move;
   store: KeyValueStore;
-  self: DriverAddress;
-  /** Largest share of requests that the new version can carry, 0 to 1. */
-  room: () => number;
+  ownAddress: DriverAddress;
+  /** Returns the share, 0 to 1, of requests that the new version can carry. */
+  capacityShare: () => number;
+  /** Called with each record that was read or written. */
   onRecord: (stored: StoredMove) => void;
   log: Log;
 };
 
-/** One process's part in driving one move. */
+/** Competes for the lease of one move and drives the move while it holds it. */
 export class MoveDriver {
   readonly #options: MoveDriverOptions;
   #judge = new MoveJudge();
   #evidence: RouteEvidence[] = [];
   #lease: string | undefined;
   #stored: StoredMove | undefined;
-  /** The store's own revision of the record's key; undefined when unsure. */
+  /**
+   * Revision of the record's key in the store; `undefined` if it has to be read
+   * first.
+   */
   #keyRevision: number | undefined;
-  #fenced = false;
+  /** Whether this driver has written the record with its own fencing number. */
+  #hasRaisedFencing = false;
 
   constructor(options: MoveDriverOptions) {
     this.#options = options;
   }
 
-  get driving(): boolean {
+  get isDriving(): boolean {
     return this.#lease !== undefined;
   }
 
-  /** Evidence of one entry, this one's own included. */
-  observe(evidence: RouteEvidence[]): void {
+  /** Adds the evidence of an entry, which may be this one. */
+  addEvidence(evidence: RouteEvidence[]): void {
     this.#evidence.push(...evidence);
   }
 
-  /** One round: takes or renews the lease, then the next step if one is due. */
-  async step(now: number): Promise<void> {
+  /**
+   * Runs one round: acquires or renews the lease, then takes the next step if
+   * one is due. `now` is the wall-clock time.
+   */
+  async runRound(now: number): Promise<void> {
     const evidence = mergeEvidence(this.#evidence.splice(0));
-    // Without the lease this process reports to the driver and judges nothing.
-    if (!await this.#holdLease()) return;
-    if (this.#keyRevision === undefined && !await this.#read(now)) return;
+    // Without the lease this process only reports its evidence to the driver.
+    if (!await this.#ensureLease()) return;
+    if (this.#keyRevision === undefined && !await this.#readRecord(now)) return;
     this.#judge.observe(evidence, now);
     await this.#advance(now);
   }
 
-  /** Gives the lease up, so that another may drive at once. */
+  /** Revokes the lease, so that another process can take over at once. */
   async stop(): Promise<void> {
     if (this.#lease === undefined) return;
     const lease = this.#lease;
@@ -82,44 +93,44 @@
     await this.#options.store.revokeLease(lease);
   }
 
-  async #holdLease(): Promise<boolean> {
+  async #ensureLease(): Promise<boolean> {
     const { store } = this.#options;
     if (this.#lease !== undefined) {
       const renewed = await store.renewLease(this.#lease);
       if (renewed.isOk && renewed.value) return true;
-      this.#loseLease();
+      this.#handleLostLease();
       return false;
     }
-    return await this.#takeLease();
+    return await this.#acquireLease();
   }
 
-  async #takeLease(): Promise<boolean> {
-    const { store, move, self, log } = this.#options;
+  async #acquireLease(): Promise<boolean> {
+    const { store, move, ownAddress, log } = this.#options;
     const key = driverKey(move.name);
     const held = await store.get(key);
     if (held.isErr || held.value !== undefined) return false;
-    const lease = await store.grantLease(LEASE_DURATION);
+    const lease = await store.grantLease(LEASE_TTL);
     if (lease.isErr) return false;
     const swapped = await store.compareAndSwap({
       key,
       expected: 0,
-      value: JSON.stringify(self),
+      value: JSON.stringify(ownAddress),
       lease: lease.value,
     });
     if (swapped.isErr || !swapped.value.swapped) {
-      // If the write took effect with its answer lost, the key goes with the
-      // lease that is never renewed.
+      // If the write took effect but its response was lost, the key is deleted
+      // with its lease, which is never renewed.
       await store.revokeLease(lease.value);
       return false;
     }
     this.#lease = lease.value;
     this.#keyRevision = undefined;
-    this.#fenced = false;
+    this.#hasRaisedFencing = false;
     log.info("driving move", { move: move.name });
     return true;
   }
 
-  #loseLease(): void {
+  #handleLostLease(): void {
     this.#lease = undefined;
     this.#keyRevision = undefined;
     this.#options.log.warn("lost the lease of a move", {
@@ -127,7 +138,7 @@
     });
   }
 
-  async #read(now: number): Promise<boolean> {
+  async #readRecord(now: number): Promise<boolean> {
     const { store, move } = this.#options;
     const found = await store.get(moveKey(move.name));
     if (found.isErr) return false;
@@ -136,14 +147,14 @@
       ? decodeStoredMove(found.value.value)
       : undefined;
     this.#stored = stored ??
-      { revision: 0, record: firstRecord(move, now) };
+      { revision: 0, record: initialRecord(move, now) };
     if (stored) this.#options.onRecord(stored);
-    if (!this.#fenced) this.#takeOverEvidence(now);
+    if (!this.#hasRaisedFencing) this.#restoreEvidence(now);
     return true;
   }
 
-  /** A new driver goes on from what its predecessor had counted. */
-  #takeOverEvidence(now: number): void {
+  /** Continues from the counts that the previous driver wrote to the record. */
+  #restoreEvidence(now: number): void {
     this.#judge = new MoveJudge();
     this.#judge.observe(this.#stored?.record.evidence ?? [], now);
   }
@@ -151,25 +162,32 @@
   async #advance(now: number): Promise<void> {
     const current = this.#stored?.record;
     if (!current) return;
-    const facts = {
+    const inputs = {
       verdict: this.#judge.verdict,
       evidence: this.#judge.totals,
-      capacityShare: this.#options.room(),
+      capacityShare: this.#options.capacityShare(),
     };
-    const next = nextStep(current, facts, now);
-    if (next) return await this.#write({ ...next, ...this.#fence(current) });
-    // The first write of a driver raises the fencing number even without a
-    // step, so that its predecessor can't write any more.
-    if (!this.#fenced) {
-      await this.#write({ ...current, ...this.#fence(current) });
+    const next = nextStep(current, inputs, now);
+    if (next) {
+      return await this.#writeRecord({
+        ...next,
+        ...this.#fencingFields(current),
+      });
+    }
+    // A new driver raises the fencing number at once, even if no step is due, so
+    // that its predecessor can no longer write.
+    if (!this.#hasRaisedFencing) {
+      await this.#writeRecord({ ...current, ...this.#fencingFields(current) });
     }
   }
 
-  #fence(current: MoveRecord): { fencing: number } {
-    return { fencing: this.#fenced ? current.fencing : current.fencing + 1 };
+  #fencingFields(current: MoveRecord): { fencing: number } {
+    return {
+      fencing: this.#hasRaisedFencing ? current.fencing : current.fencing + 1,
+    };
   }
 
-  async #write(record: MoveRecord): Promise<void> {
+  async #writeRecord(record: MoveRecord): Promise<void> {
     const { store, move, log, onRecord } = this.#options;
     const stored = { revision: (this.#stored?.revision ?? 0) + 1, record };
     const swapped = await store.compareAndSwap({
@@ -178,16 +196,17 @@
       value: encodeStoredMove(stored),
     });
     if (swapped.isErr || !swapped.value.swapped) {
-      // Lost answer or lost race: read before anything else is written.
+      // The response was lost, or another process wrote first: the record is
+      // read again before the next write.
       this.#keyRevision = undefined;
       return;
     }
     const before = this.#stored?.record.phase;
     this.#keyRevision = swapped.value.revision;
     this.#stored = stored;
-    this.#fenced = true;
+    this.#hasRaisedFencing = true;
     onRecord(stored);
     if (before === record.phase) return;
-    log.info("move", { move: move.name, phase: record.phase });
+    log.info("move changed phase", { move: move.name, phase: record.phase });
   }
 }
--- a/packages/daemon/src/moves/service_move.ts
+++ b/packages/daemon/src/moves/service_move.ts
@@ -1,6 +1,6 @@
 /**
- * One move as an entry sees it: the record in force, the split of its own
- * requests and its own evidence.
+ * The state of one move at one entry: the newest record, how the entry splits
+ * its requests between the two versions, and the evidence from its own calls.
  * @module
  */
 import {
@@ -18,22 +18,25 @@
 } from "@sycamorepulley/decisions";
 import type { Move } from "@sycamorepulley/configuration";
 import type { MoveStatus } from "@sycamorepulley/store";
-import { firstRecord } from "./stored_move.ts";
+import { initialRecord } from "./stored_move.ts";
 import type { StoredMove } from "./stored_move.ts";
 
-/** What one request on a move is charged to. */
+/** The version chosen for a request, and the move to which its result counts. */
 export type VersionChoice = {
   move: string;
   side: VersionSide;
   version: string;
-  /** Version that takes the request if the new one has no room for it. */
+  /** Version that serves the request if the new one has no capacity for it. */
   fallback?: string | undefined;
 };
 
-/** Splits, counts and stops at once on own evidence. */
+/**
+ * Splits the entry's requests between the versions, counts their results, and
+ * stops the new version here as soon as the entry's own evidence is against it.
+ */
 export class ServiceMove {
   readonly move: Move;
-  readonly #tally = new EvidenceCollector();
+  readonly #collector = new EvidenceCollector();
   readonly #judge = new MoveJudge();
   readonly #split: VersionSplit;
   #stored: StoredMove;
@@ -42,29 +45,33 @@
     const { move, now, firstRemainder } = options;
     this.move = move;
     this.#split = new VersionSplit(firstRemainder);
-    this.#stored = { revision: 0, record: firstRecord(move, now) };
+    this.#stored = { revision: 0, record: initialRecord(move, now) };
   }
 
+  /** The newest record known here. */
   get stored(): StoredMove {
     return this.#stored;
   }
 
-  /** Takes over a record unless it is older; true when it is newer. */
+  /** Adopts a record if it is newer; returns whether it was. */
   adopt(stored: StoredMove): boolean {
     if (stored.revision <= this.#stored.revision) return false;
     this.#stored = stored;
     return true;
   }
 
-  /** How the move stands; by rule also when no record can be had. */
+  /**
+   * Returns the outcome at `now` (wall clock). After the deadline it follows
+   * from the last record, also when no newer one can be read.
+   */
   effectiveOutcome(now: number): MoveOutcome {
     const { phase } = this.#stored.record;
     const deadline = Date.parse(this.move.deadline);
     return effectiveOutcome({ phase, deadline }, now);
   }
 
-  /** The version of the next request; `now` is the wall clock. */
-  choose(now: number, entries: number): VersionChoice {
+  /** Chooses the version for the next request; `now` is the wall-clock time. */
+  chooseVersion(now: number, entries: number): VersionChoice {
     const { record } = this.#stored;
     this.#split.setBounds({
       share: effectiveShare(record, now),
@@ -83,38 +90,41 @@
     return { move: this.move.name, side, version: this.move.to, fallback };
   }
 
-  /** A request that was chosen for a side ended. */
-  ended(
+  /** Records the end of a request that ran on the given side. */
+  recordCall(
     side: VersionSide,
     call: { route: string; failed: boolean; slowness?: number | undefined },
   ): void {
     if (side === "to") this.#split.requestEnded();
-    this.#tally.recordCall({ ...call, side });
+    this.#collector.recordCall({ ...call, side });
   }
 
-  /** A chosen request ended without having run. */
-  notRun(side: VersionSide): void {
+  /** Records that a request chosen for a side ended without running. */
+  recordNotRun(side: VersionSide): void {
     if (side === "to") this.#split.requestEnded();
   }
 
-  /** Evidence since the last time; stops the new version on it at once. */
-  takeEvidence(now: number): RouteEvidence[] {
-    const evidence = this.#tally.flush();
+  /**
+   * Returns the evidence since the last call, and stops the new version at this
+   * entry if the evidence shows it to be bad.
+   */
+  flushEvidence(now: number): RouteEvidence[] {
+    const evidence = this.#collector.flush();
     if (this.#judge.observe(evidence, now).kind === "bad") this.#split.stop();
     return evidence;
   }
 
   status(now: number): MoveStatus {
     const { record } = this.#stored;
-    const end = this.effectiveOutcome(now);
+    const outcome = this.effectiveOutcome(now);
     const { name, service, from, to, deadline } = this.move;
     return {
       name,
       service,
       from,
       to,
-      share: end === "complete" ? 1 : effectiveShare(record, now),
-      state: statusOf(end, record.phase),
+      share: outcome === "complete" ? 1 : effectiveShare(record, now),
+      state: stateOf(outcome, record.phase),
       deadline,
       detail: this.#detail(),
     };
@@ -127,16 +137,16 @@
       `new ${to.failed}/${to.ended} failed, ${to.slow} slow`
     );
     const stopped = this.#split.stopped ? ["stopped here on own evidence"] : [];
-    const head = [
+    const summary = [
       `${phase}${reason ? ` (${reason})` : ""}`,
       `driver ${fencing}`,
     ];
-    return [...head, ...stopped, ...routes].join("; ");
+    return [...summary, ...stopped, ...routes].join("; ");
   }
 }
 
-function statusOf(end: MoveOutcome, phase: string): MoveStatus["state"] {
-  if (end === "complete") return "complete";
-  if (end === "takenBack") return "taken_back";
+function stateOf(outcome: MoveOutcome, phase: string): MoveStatus["state"] {
+  if (outcome === "complete") return "complete";
+  if (outcome === "takenBack") return "taken_back";
   return phase === "pending" ? "waiting" : "moving";
 }
--- a/packages/daemon/src/moves/stored_move.ts
+++ b/packages/daemon/src/moves/stored_move.ts
@@ -1,7 +1,7 @@
 /**
- * A move's record as the key-value service and peers hold it. Its revision
- * grows with every write, so that a copy heard from a peer is never older
- * than the one in force.
+ * The encoding of a move's record in the key-value service and in messages
+ * between peers. Its revision increases with every write, so that an older copy
+ * from a peer never replaces a newer record.
  * @module
  */
 import * as v from "valibot";
@@ -13,15 +13,15 @@
   revision: v.pipe(v.number(), v.safeInteger(), v.minValue(1)),
   record: moveRecordSchema,
 });
-/** A record and its revision. */
+/** A move's record and its revision. */
 export type StoredMove = v.InferOutput<typeof storedMoveSchema>;
 
-/** Where the record of a move is kept. */
+/** Returns the key of a move's record. */
 export function moveKey(move: string): string {
   return `moves/${move}`;
 }
 
-/** Where the driver of a move states its lease. */
+/** Returns the key that a move's driver holds under its lease. */
 export function driverKey(move: string): string {
   return `moves/${move}/driver`;
 }
@@ -30,7 +30,7 @@
   return JSON.stringify(stored);
 }
 
-/** Undefined when the text is no record that this release understands. */
+/** Returns `undefined` if this release can't read the record. */
 export function decodeStoredMove(text: string): StoredMove | undefined {
   try {
     const parsed = v.safeParse(storedMoveSchema, JSON.parse(text));
@@ -40,8 +40,8 @@
   }
 }
 
-/** The record of a move that nobody has driven yet. */
-export function firstRecord(move: Move, now: number): MoveRecord {
+/** Creates the record of a move that no process has driven yet. */
+export function initialRecord(move: Move, now: number): MoveRecord {
   return {
     move: move.name,
     service: move.service,
--- a/packages/daemon/src/moves/version_capacity.ts
+++ b/packages/daemon/src/moves/version_capacity.ts
@@ -1,9 +1,9 @@
-/** How much of a service's requests each version's servers can carry. @module */
+/** The capacity of the servers of each version of a service. @module */
 import type { LoadMessage } from "@sycamorepulley/protocol";
 
 type ServerLoad = { version: string | undefined; load: LoadMessage };
 
-/** Newest load of each server that this entry has heard of. */
+/** Keeps the newest load report of each server that this entry knows. */
 export class VersionCapacity {
   readonly #servers = new Map<string, ServerLoad>();
 
@@ -15,14 +15,17 @@
     this.#servers.delete(name);
   }
 
-  /** From 0, no server is there, to 1, it can carry all that there is now. */
+  /**
+   * Returns the share of the service's current requests that the healthy servers
+   * of a version can carry: 0 without any such server, at most 1.
+   */
   capacityShare(version: string): number {
     let limit = 0;
-    let present = 0;
-    for (const { version: own, load } of this.#servers.values()) {
-      if (own === version && load.healthy) limit += load.limit;
-      present += load.running + load.waiting;
+    let currentRequests = 0;
+    for (const { version: serverVersion, load } of this.#servers.values()) {
+      if (serverVersion === version && load.healthy) limit += load.limit;
+      currentRequests += load.running + load.waiting;
     }
-    return Math.min(1, limit / Math.max(1, present));
+    return Math.min(1, limit / Math.max(1, currentRequests));
   }
 }
--- a/packages/daemon/test/move_driver_test.ts
+++ b/packages/daemon/test/move_driver_test.ts
@@ -8,7 +8,7 @@
 import { ServiceMove } from "../src/moves/service_move.ts";
 
 const SECOND = 1000;
-const CALLS_A_ROUND = 60;
+const CALLS_PER_ROUND = 60;
 
 const MOVE: Move = {
   name: "bookings-to-2",
@@ -20,10 +20,10 @@
   trialRequests: 200,
 };
 
-/** Two entries over one store, in virtual time. */
+/** Two entries that share one store, in virtual time. */
 class MovingEntries {
   now = 0;
-  failsOnNew = false;
+  newVersionFails = false;
   readonly store = new FaultyKeyValueStore(
     new MemoryKeyValueStore({ clock: () => this.now }),
   );
@@ -32,122 +32,130 @@
   );
   readonly stopped = new Set<number>();
 
-  /** One second: calls at each entry, then a round of each driver. */
-  async round(): Promise<void> {
+  /** Advances one second: calls at each entry, then a round of each driver. */
+  async runRound(): Promise<void> {
     this.now += SECOND;
-    const reports = this.entries.map(({ view }) => {
-      for (let call = 0; call < CALLS_A_ROUND; call++) this.#call(view);
-      return view.takeEvidence(this.now);
+    const reports = this.entries.map(({ serviceMove }) => {
+      for (let call = 0; call < CALLS_PER_ROUND; call++) {
+        this.#call(serviceMove);
+      }
+      return serviceMove.flushEvidence(this.now);
     });
-    for (const [number, { driver, view }] of this.entries.entries()) {
+    for (const [number, { driver, serviceMove }] of this.entries.entries()) {
       if (this.stopped.has(number)) continue;
-      for (const evidence of reports) driver.observe(evidence);
-      await driver.step(this.now);
-      for (const other of this.entries) other.view.adopt(view.stored);
+      for (const evidence of reports) driver.addEvidence(evidence);
+      await driver.runRound(this.now);
+      for (const other of this.entries) {
+        other.serviceMove.adopt(serviceMove.stored);
+      }
     }
   }
 
-  async roundsUntil(done: () => boolean, most = 200): Promise<void> {
-    for (let round = 0; round < most && !done(); round++) await this.round();
+  async runRoundsUntil(isDone: () => boolean, maxRounds = 200): Promise<void> {
+    for (let round = 0; round < maxRounds && !isDone(); round++) {
+      await this.runRound();
+    }
   }
 
-  ends(): string[] {
-    return this.entries.map(({ view }) => view.effectiveOutcome(this.now));
+  outcomes(): string[] {
+    return this.entries.map(({ serviceMove }) =>
+      serviceMove.effectiveOutcome(this.now)
+    );
   }
 
-  driving(): number {
-    return this.entries.findIndex(({ driver }) => driver.driving);
+  driverIndex(): number {
+    return this.entries.findIndex(({ driver }) => driver.isDriving);
   }
 
-  #call(view: ServiceMove): void {
-    const { side } = view.choose(this.now, 2);
-    const failed = side === "to" && this.failsOnNew;
-    view.ended(side, { route: "/bookings", failed, slowness: 1 });
+  #call(serviceMove: ServiceMove): void {
+    const { side } = serviceMove.chooseVersion(this.now, 2);
+    const failed = side === "to" && this.newVersionFails;
+    serviceMove.recordCall(side, { route: "/bookings", failed, slowness: 1 });
   }
 
   #entry(instance: string) {
-    const view = new ServiceMove({ move: MOVE, now: 0, firstRemainder: 0.5 });
+    const serviceMove = new ServiceMove({
+      move: MOVE,
+      now: 0,
+      firstRemainder: 0.5,
+    });
     const driver = new MoveDriver({
       move: MOVE,
       store: this.store,
-      self: { instance, host: "127.0.0.1", port: 1 },
-      room: () => 1,
-      onRecord: (stored) => void view.adopt(stored),
+      ownAddress: { instance, host: "127.0.0.1", port: 1 },
+      capacityShare: () => 1,
+      onRecord: (stored) => void serviceMove.adopt(stored),
       log: { info: () => {}, warn: () => {} },
     });
-    return { view, driver };
+    return { serviceMove, driver };
   }
 }
 
 t.test("a good version completes before its deadline", async (t) => {
   const moving = new MovingEntries();
-  await moving.roundsUntil(() => !moving.ends().includes("running"));
-  t.same(moving.ends(), ["complete", "complete"]);
+  await moving.runRoundsUntil(() => !moving.outcomes().includes("running"));
+  t.same(moving.outcomes(), ["complete", "complete"]);
   t.ok(moving.now < 100 * SECOND, `complete at ${moving.now}`);
 });
 
-t.test("a version that turns bad late is taken back", async (t) => {
+t.test("a version that starts to fail late is taken back", async (t) => {
   const moving = new MovingEntries();
   const [first] = moving.entries;
-  await moving.roundsUntil(() => first!.view.stored.record.share >= 0.25);
-  moving.failsOnNew = true;
-  await moving.roundsUntil(() => !moving.ends().includes("running"));
-  t.same(moving.ends(), ["takenBack", "takenBack"]);
-  t.equal(first!.view.stored.record.reason, "failures");
+  await moving.runRoundsUntil(() =>
+    first!.serviceMove.stored.record.share >= 0.25
+  );
+  moving.newVersionFails = true;
+  await moving.runRoundsUntil(() => !moving.outcomes().includes("running"));
+  t.same(moving.outcomes(), ["takenBack", "takenBack"]);
+  t.equal(first!.serviceMove.stored.record.reason, "failures");
 });
 
-t.test("a killed driver is replaced and the move completes", async (t) => {
-  // A move stands still: the instance that drove it died midway. Its lease
-  // lapses, another takes over with a higher fencing number and goes on from
-  // the evidence that the first had written.
+t.test("a crashed driver is replaced and the move completes", async (t) => {
+  // Otherwise a move stops for good when its driver crashes midway.
   const moving = new MovingEntries();
-  await moving.roundsUntil(() => moving.driving() >= 0);
-  const killed = moving.driving();
-  moving.stopped.add(killed);
-  const survivor = moving.entries[1 - killed]!;
-  await moving.roundsUntil(() => survivor.driver.driving);
-  await moving.roundsUntil(() => !moving.ends().includes("running"));
-  t.same(moving.ends(), ["complete", "complete"]);
-  t.equal(survivor.view.stored.record.fencing, 2);
+  await moving.runRoundsUntil(() => moving.driverIndex() >= 0);
+  const crashed = moving.driverIndex();
+  moving.stopped.add(crashed);
+  const survivor = moving.entries[1 - crashed]!;
+  await moving.runRoundsUntil(() => survivor.driver.isDriving);
+  await moving.runRoundsUntil(() => !moving.outcomes().includes("running"));
+  t.same(moving.outcomes(), ["complete", "complete"]);
+  t.equal(survivor.serviceMove.stored.record.fencing, 2);
 });
 
-t.test("a driver that wakes after its lease changes nothing", async (t) => {
-  // The driver is paused for longer than its lease. Another has taken over
-  // and moved on when it wakes with a step of its own in hand.
+t.test("a driver that resumes after its lease expired changes nothing", async (t) => {
+  // Otherwise a driver paused beyond its lease overwrites its successor's steps.
   const moving = new MovingEntries();
-  await moving.roundsUntil(() => moving.driving() >= 0);
-  const paused = moving.driving();
+  await moving.runRoundsUntil(() => moving.driverIndex() >= 0);
+  const paused = moving.driverIndex();
   moving.stopped.add(paused);
   const survivor = moving.entries[1 - paused]!;
-  await moving.roundsUntil(() => survivor.driver.driving);
-  const before = survivor.view.stored;
-  await moving.entries[paused]!.driver.step(moving.now);
-  t.equal(moving.entries[paused]!.driver.driving, false);
+  await moving.runRoundsUntil(() => survivor.driver.isDriving);
+  const before = survivor.serviceMove.stored;
+  await moving.entries[paused]!.driver.runRound(moving.now);
+  t.equal(moving.entries[paused]!.driver.isDriving, false);
   const found = await moving.store.get(`moves/${MOVE.name}`);
   t.same(JSON.parse(found.isOk ? found.value!.value : ""), before);
 });
 
-t.test("a lost answer to a step is read back", async (t) => {
-  // The service takes a step and the answer is lost. A driver that wrote the
-  // step again would count it twice; it must read what became of it.
+t.test("after a lost response to a write the record is read again", async (t) => {
+  // Otherwise a step that the store applied is written and counted twice.
   const moving = new MovingEntries();
-  await moving.roundsUntil(() => moving.driving() >= 0);
+  await moving.runRoundsUntil(() => moving.driverIndex() >= 0);
   moving.store.writeFaults.push("lost_answer");
-  await moving.roundsUntil(() => !moving.ends().includes("running"));
-  t.same(moving.ends(), ["complete", "complete"]);
+  await moving.runRoundsUntil(() => !moving.outcomes().includes("running"));
+  t.same(moving.outcomes(), ["complete", "complete"]);
 });
 
-t.test("a service that is down over the deadline ends it alike", async (t) => {
-  // The key-value service goes down in the midst of a move and stays down.
-  // Nobody can write an end, so the rule must: at the deadline every process
-  // takes the move back by itself, and all come to the same end.
+t.test("during an outage all processes take the move back at its deadline", async (t) => {
+  // Otherwise entries disagree, since none can write the outcome to the store.
   const moving = new MovingEntries();
   const [first] = moving.entries;
-  await moving.roundsUntil(() => first!.view.stored.record.share > 0);
+  await moving.runRoundsUntil(() => first!.serviceMove.stored.record.share > 0);
   moving.store.outage = true;
-  await moving.roundsUntil(() => moving.now >= 119 * SECOND);
-  t.same(moving.ends(), ["running", "running"]);
-  await moving.round();
-  await moving.round();
-  t.same(moving.ends(), ["takenBack", "takenBack"]);
+  await moving.runRoundsUntil(() => moving.now >= 119 * SECOND);
+  t.same(moving.outcomes(), ["running", "running"]);
+  await moving.runRound();
+  await moving.runRound();
+  t.same(moving.outcomes(), ["takenBack", "takenBack"]);
 });
