--- a/packages/daemon/src/moves/move_driver.ts
+++ b/packages/daemon/src/moves/move_driver.ts
@@ -207,6 +207,6 @@
     this.#hasRaisedFencing = true;
     onRecord(stored);
     if (before === record.phase) return;
-    log.info("move changed phase", { move: move.name, phase: record.phase });
+    log.info("move", { move: move.name, phase: record.phase });
   }
 }
