--- a/packages/daemon/src/sidecar/backend_client.ts
+++ b/packages/daemon/src/sidecar/backend_client.ts
@@ -1,4 +1,4 @@
-/** The one way to the backend server, over HTTP by `undici`. @module */
+/** HTTP client for the sidecar's backend server, by `undici`. @module */
 import { errors, Pool } from "undici";
 import type { Dispatcher } from "undici";
 import type {
@@ -7,41 +7,44 @@
   HttpHeaders,
 } from "@sycamorepulley/protocol";
 import { endToEndHeaders } from "../common/end_to_end_headers.ts";
-import { meterFor } from "./answer_meter.ts";
+import { createMeter } from "./response_meter.ts";
 
-/** Takes the answer as it comes. */
-export abstract class AnswerReceiver {
-  abstract head(status: number, headers: HttpHeaders): void;
-  abstract chunk(bytes: Uint8Array, outputTokens: number): Promise<void>;
+/** Receives a response while it is streamed. */
+export abstract class ResponseReceiver {
+  abstract receiveHead(status: number, headers: HttpHeaders): void;
+  abstract receiveChunk(bytes: Uint8Array, outputTokens: number): Promise<void>;
 }
 
-/** How a run ended. `cut`: the connection broke while the request ran. */
+/**
+ * How a request ended. `connectionLost` is true if the connection broke while the
+ * request was running.
+ */
 export type RunOutcome =
   | { kind: "whole"; status: number }
   | {
     kind: "failed";
     ran: FailedMessage["ran"];
     reason: FailedMessage["reason"];
-    cut: boolean;
+    connectionLost: boolean;
   };
 
 /** Options of {@link BackendClient}. */
 export type BackendClientOptions = {
   url: string;
   kind: "model" | "plain";
-  /** Largest answer, in bytes. */
-  answerBytes: number;
+  /** Maximum size of a response, in bytes. */
+  maxResponseBytes: number;
 };
 
 /** Runs requests at one backend server. */
 export class BackendClient {
   readonly #pool: Pool;
   readonly #kind: "model" | "plain";
-  readonly #answerBytes: number;
+  readonly #maxResponseBytes: number;
 
   constructor(options: BackendClientOptions) {
     this.#kind = options.kind;
-    this.#answerBytes = options.answerBytes;
+    this.#maxResponseBytes = options.maxResponseBytes;
     this.#pool = new Pool(options.url, {
       pipelining: 1,
       headersTimeout: 0,
@@ -50,27 +53,30 @@
     });
   }
 
-  /** Runs a request; never more than one attempt. */
+  /** Runs a request, in a single attempt. */
   async run(
     request: HandOverMessage,
-    receiver: AnswerReceiver,
+    receiver: ResponseReceiver,
     signal: AbortSignal,
   ): Promise<RunOutcome> {
     try {
-      const answer = await this.#pool.request({
+      const response = await this.#pool.request({
         method: request.method as Dispatcher.HttpMethod,
         path: request.path,
         headers: request.headers,
         body: request.body.byteLength > 0 ? request.body : null,
         signal,
       });
-      return await this.#relay(answer, receiver);
+      return await this.#relayResponse(response, receiver);
     } catch (error) {
-      return failedRun(error, signal);
+      return outcomeOfError(error, signal);
     }
   }
 
-  /** Whether the server answers `path` with a success. */
+  /**
+   * Resolves to whether the server responds to a GET of `path` with a status
+   * below 400 within `timeout` milliseconds.
+   */
   async probe(path: string, timeout: number): Promise<boolean> {
     try {
       const { statusCode, body } = await this.#pool.request({
@@ -89,49 +95,51 @@
     await this.#pool.destroy();
   }
 
-  async #relay(
-    answer: Dispatcher.ResponseData,
-    receiver: AnswerReceiver,
+  async #relayResponse(
+    response: Dispatcher.ResponseData,
+    receiver: ResponseReceiver,
   ): Promise<RunOutcome> {
-    const headers = endToEndHeaders(answer.headers);
-    const meter = meterFor({
+    const headers = endToEndHeaders(response.headers);
+    const meter = createMeter({
       kind: this.#kind,
-      status: answer.statusCode,
+      status: response.statusCode,
       contentType: String(headers["content-type"] ?? ""),
     });
-    receiver.head(answer.statusCode, headers);
+    receiver.receiveHead(response.statusCode, headers);
     let length = 0;
-    for await (const bytes of answer.body as AsyncIterable<Uint8Array>) {
+    for await (const bytes of response.body as AsyncIterable<Uint8Array>) {
       length += bytes.byteLength;
-      if (length > this.#answerBytes) {
-        answer.body.destroy();
-        return failed("yes", "answer_too_large");
+      if (length > this.#maxResponseBytes) {
+        response.body.destroy();
+        return failedOutcome("yes", "answer_too_large");
       }
-      await receiver.chunk(bytes, meter.read(bytes).outputTokens);
+      await receiver.receiveChunk(bytes, meter.read(bytes).outputTokens);
     }
-    if (!meter.whole) return { ...failed("yes", "answer_cut"), cut: true };
-    return { kind: "whole", status: answer.statusCode };
+    if (!meter.isComplete) {
+      return { ...failedOutcome("yes", "answer_cut"), connectionLost: true };
+    }
+    return { kind: "whole", status: response.statusCode };
   }
 }
 
-function failed(
+function failedOutcome(
   ran: FailedMessage["ran"],
   reason: FailedMessage["reason"],
 ): Extract<RunOutcome, { kind: "failed" }> {
-  return { kind: "failed", ran, reason, cut: false };
+  return { kind: "failed", ran, reason, connectionLost: false };
 }
 
-function failedRun(error: unknown, signal: AbortSignal): RunOutcome {
+function outcomeOfError(error: unknown, signal: AbortSignal): RunOutcome {
   if (signal.aborted) {
     const reason = signal.reason === "deadline" ? "deadline" : "cancelled";
-    return failed("unknown", reason);
+    return failedOutcome("unknown", reason);
   }
-  if (neverConnected(error)) return failed("no", "connect_failed");
-  return { ...failed("unknown", "answer_cut"), cut: true };
+  if (isConnectError(error)) return failedOutcome("no", "connect_failed");
+  return { ...failedOutcome("unknown", "answer_cut"), connectionLost: true };
 }
 
-/** No connection, so not a byte of the request left this process. */
-function neverConnected(error: unknown): boolean {
+/** Whether connecting failed, so that no byte of the request was sent. */
+function isConnectError(error: unknown): boolean {
   if (error instanceof errors.ConnectTimeoutError) return true;
   const { code, syscall } = error as NodeJS.ErrnoException;
   return code === "ECONNREFUSED" || syscall === "connect";
--- a/packages/daemon/src/sidecar/crash_reporter.ts
+++ b/packages/daemon/src/sidecar/crash_reporter.ts
@@ -1,52 +1,61 @@
 /**
- * Finds out whether a cut connection was a crash, and tells what ran then.
+ * Finds out whether a broken connection was caused by a crash of the backend
+ * server, and reports which requests were running.
  * @module
  */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { CrashSuspects } from "@sycamorepulley/decisions";
 import type { CrashedMessage } from "@sycamorepulley/protocol";
 import { monotonicNow } from "../common/clock.ts";
-import { CrashWatch } from "./crash_watch.ts";
+import { InterruptedRequests } from "./interrupted_requests.ts";
 import type { HealthProbe } from "./health_probe.ts";
 
 /**
- * A dead process refuses a connection at once; one that is merely slow is not
- * waited for, since a caller waits for this answer. In milliseconds.
+ * Milliseconds to wait for a health check after a broken connection. A crashed
+ * process refuses connections at once. A slow one counts as alive after this
+ * time, because a caller is waiting for the result.
  */
-const DIAGNOSIS = 100;
+const DIAGNOSIS_TIMEOUT = 100;
 
 /** Options of {@link CrashReporter}. */
 export type CrashReporterOptions = {
   instance: string;
   suspects: CrashSuspects;
   probe: () => HealthProbe;
-  /** To every entry that is connected. */
+  /** Sends a message to all connected entries. */
   broadcast: (message: CrashedMessage) => void;
 };
 
-/** Keeps the suspects of this sidecar's service up to date. */
+/** Detects crashes of this server and records those of the whole service. */
 export class CrashReporter {
   readonly #options: CrashReporterOptions;
-  readonly #watch = new CrashWatch();
+  readonly #interrupted = new InterruptedRequests();
 
   constructor(options: CrashReporterOptions) {
     this.#options = options;
   }
 
-  /** A running request's connection broke; resolves once that is understood. */
+  /**
+   * Checks the server after the connection of a running request broke. Resolves
+   * once a crash has been reported or ruled out.
+   */
   async diagnose(fingerprint: string | undefined): Promise<void> {
-    this.#watch.cut(fingerprint, monotonicNow());
+    this.#interrupted.record(fingerprint, monotonicNow());
     const probe = this.#options.probe();
-    const alive = await Promise.race([probe.check(), sleep(DIAGNOSIS, true)]);
-    if (alive) return;
-    probe.down();
-    // Cut by the same crash, but after its first victim had been diagnosed.
-    this.tell(monotonicNow());
+    const isAlive = await Promise.race([
+      probe.check(),
+      sleep(DIAGNOSIS_TIMEOUT, true),
+    ]);
+    if (isAlive) return;
+    probe.markUnhealthy();
+    // Reports requests that the same crash interrupted, but which were recorded
+    // only after the crash had been reported for the first of them.
+    this.reportCrash(monotonicNow());
   }
 
-  /** The server is down: what ran as it died is told to all. */
-  tell(now: number): void {
-    const fingerprints = this.#watch.died(now);
+  /** Reports the requests that were running when the server crashed, if any. */
+  reportCrash(now: number): void {
+    const fingerprints = this.#interrupted.flush(now);
     if (fingerprints.length === 0) return;
     const backendServer = this.#options.instance;
     const crash: CrashedMessage = {
@@ -54,12 +63,12 @@
       fingerprints,
       backendServer,
     };
-    this.learn(crash);
+    this.recordCrash(crash);
     this.#options.broadcast(crash);
   }
 
-  /** Takes in a crash here or at another server of the service. */
-  learn({ fingerprints, backendServer }: CrashedMessage): void {
+  /** Records a crash of this or another server of the service. */
+  recordCrash({ fingerprints, backendServer }: CrashedMessage): void {
     this.#options.suspects.recordCrash(
       fingerprints,
       backendServer,
--- a/packages/daemon/src/sidecar/entry_connection.ts
+++ b/packages/daemon/src/sidecar/entry_connection.ts
@@ -1,4 +1,4 @@
-/** One entry's connection to this sidecar: a task for as long as it lives. @module */
+/** The connection of one entry to this sidecar. @module */
 import { LinkError } from "@sycamorepulley/protocol";
 import type {
   EstablishedLink,
@@ -6,74 +6,81 @@
   Message,
 } from "@sycamorepulley/protocol";
 
-/** Least time between two load messages on one link, in milliseconds. */
-const LOAD_INTERVAL = 100;
+/** Minimum milliseconds between two load messages on one link. */
+const MIN_LOAD_INTERVAL = 100;
 
-/** What the sidecar does with an entry's messages. */
+/** Handles the messages of an entry and the end of its connection. */
 export abstract class EntryMessageHandler {
-  abstract onMessage(connection: EntryConnection, message: Message): void;
-  abstract onEnd(connection: EntryConnection): void;
+  abstract handleMessage(connection: EntryConnection, message: Message): void;
+  abstract handleEnd(connection: EntryConnection): void;
 }
 
-/** Sends to one entry and names its reservations within this sidecar. */
+/**
+ * Sends messages to one entry, and gives its reservations identifiers that are
+ * unique within this sidecar.
+ */
 export class EntryConnection {
-  readonly #open: EstablishedLink;
-  readonly #name: string;
+  readonly #established: EstablishedLink;
+  readonly #idPrefix: string;
   #loadSentAt = Number.NEGATIVE_INFINITY;
 
-  constructor(options: { open: EstablishedLink; sequence: number }) {
-    this.#open = options.open;
-    const { incarnation } = options.open.peerHello;
-    // The sequence tells two links of one entry apart: what it reserved over
-    // a broken link must not be taken for what it reserves over the next.
-    this.#name = `${incarnation}/${options.sequence}`;
+  constructor(options: { established: EstablishedLink; sequence: number }) {
+    this.#established = options.established;
+    const { incarnation } = options.established.peerHello;
+    // The sequence number distinguishes two links of the same entry: reservations
+    // over a broken link must not be confused with those over the next one.
+    this.#idPrefix = `${incarnation}/${options.sequence}`;
   }
 
   get instance(): string {
-    return this.#open.peerHello.instance;
+    return this.#established.peerHello.instance;
   }
 
-  get peerRevision(): number {
-    return this.#open.peerHello.configurationRevision;
+  get peerConfigurationRevision(): number {
+    return this.#established.peerHello.configurationRevision;
   }
 
-  /** Name of a reservation that no other link's reservation has. */
+  /** Returns the identifier of a reservation, unique among all links. */
   reservationId(reservation: number): string {
-    return `${this.#name}/${reservation}`;
+    return `${this.#idPrefix}/${reservation}`;
   }
 
   send(message: Message): void {
-    this.#open.link.send(message);
+    this.#established.link.send(message);
   }
 
-  drained(): Promise<void> {
-    return this.#open.link.waitForDrain();
+  /** Resolves once the link's send buffer has capacity again. */
+  waitForDrain(): Promise<void> {
+    return this.#established.link.waitForDrain();
   }
 
-  /** Sends the load unless one has just gone. */
+  /** Sends the load, unless the last one was sent too recently. */
   sendLoad(load: () => LoadMessage, now: number): void {
-    if (now - this.#loadSentAt < LOAD_INTERVAL) return;
+    if (now - this.#loadSentAt < MIN_LOAD_INTERVAL) return;
     this.#loadSentAt = now;
     this.send(load());
   }
 
-  /** Hands every message to `handler` until the link ends. */
+  /**
+   * Passes every message to `handler` until the link ends; resolves to the error
+   * that ended it, if any.
+   */
   async run(handler: EntryMessageHandler): Promise<LinkError | undefined> {
     try {
-      for await (const message of this.#open.messages) {
-        handler.onMessage(this, message);
+      for await (const message of this.#established.messages) {
+        handler.handleMessage(this, message);
       }
       return undefined;
     } catch (error) {
       if (error instanceof LinkError) return error;
       throw error;
     } finally {
-      this.#open.link.close();
-      handler.onEnd(this);
+      this.#established.link.close();
+      handler.handleEnd(this);
     }
   }
 
   end(): void {
-    this.#open.link.end();
+    this.#established.link.end();
   }
 }
--- a/packages/daemon/src/sidecar/health_probe.ts
+++ b/packages/daemon/src/sidecar/health_probe.ts
@@ -1,8 +1,8 @@
-/** Asks the backend server at intervals whether it is well. @module */
+/** Checks the health of the backend server at intervals. @module */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { BackendClient } from "./backend_client.ts";
 
-/** Options of {@link HealthProbe}; times in milliseconds. */
+/** Options of {@link HealthProbe}; `interval` in milliseconds. */
 export type HealthProbeOptions = {
   client: BackendClient;
   path: string;
@@ -11,13 +11,15 @@
 };
 
 /**
- * Two failures in a row make a server unhealthy, so that one lost probe does
- * not empty its queue; a request that found nobody listening does at once.
+ * Failed probes in a row after which the server counts as unhealthy. A single
+ * lost probe must not empty its queue. A refused connection of a request makes
+ * it unhealthy at once.
  */
-const FAILURES_TO_UNHEALTHY = 2;
+const UNHEALTHY_THRESHOLD = 2;
+/** Milliseconds within which the server must respond to a probe. */
 const PROBE_TIMEOUT = 2000;
 
-/** Knows whether the server is well; nothing is known at first. */
+/** Tracks the server's health; it counts as unhealthy until the first success. */
 export class HealthProbe {
   readonly #options: HealthProbeOptions;
   readonly #stop = new AbortController();
@@ -43,28 +45,28 @@
     }
   }
 
-  /** Probes once, now; resolves to what it found. */
+  /** Probes the server once; resolves to whether the probe succeeded. */
   async check(): Promise<boolean> {
     const { client, path } = this.#options;
-    const well = await client.probe(path, PROBE_TIMEOUT);
-    if (this.#stop.signal.aborted) return well;
-    this.#failures = well ? 0 : this.#failures + 1;
-    if (well) this.#change(true);
-    else if (this.#failures >= FAILURES_TO_UNHEALTHY) this.#change(false);
-    return well;
+    const isHealthy = await client.probe(path, PROBE_TIMEOUT);
+    if (this.#stop.signal.aborted) return isHealthy;
+    this.#failures = isHealthy ? 0 : this.#failures + 1;
+    if (isHealthy) this.#setHealthy(true);
+    else if (this.#failures >= UNHEALTHY_THRESHOLD) this.#setHealthy(false);
+    return isHealthy;
   }
 
-  /** A request or a probe found nobody listening. */
-  down(): void {
-    this.#failures = FAILURES_TO_UNHEALTHY;
-    this.#change(false);
+  /** Marks the server as unhealthy at once, without further probes. */
+  markUnhealthy(): void {
+    this.#failures = UNHEALTHY_THRESHOLD;
+    this.#setHealthy(false);
   }
 
   stop(): void {
     this.#stop.abort();
   }
 
-  #change(healthy: boolean): void {
+  #setHealthy(healthy: boolean): void {
     if (healthy === this.#healthy) return;
     this.#healthy = healthy;
     this.#options.onChange(healthy);
--- /dev/null
+++ b/packages/daemon/src/sidecar/interrupted_requests.ts
@@ -0,0 +1,42 @@
+/**
+ * Distinguishes a crash of the backend server from a single broken connection.
+ *
+ * A request may crash each server that runs it. Such a crash breaks the
+ * connections of all running requests at about the same time, and afterwards
+ * the server accepts no connection. The requests that were running then become
+ * suspects; a request whose connection breaks while the server still responds
+ * does not.
+ * @module
+ */
+
+/** Interruptions within this many milliseconds belong to the same crash. */
+const CRASH_WINDOW = 2000;
+
+type Interruption = { fingerprint: string; at: number };
+
+/** Collects interrupted requests until a probe shows whether the server crashed. */
+export class InterruptedRequests {
+  #interruptions: Interruption[] = [];
+
+  /** Records that the connection of a running request broke. */
+  record(fingerprint: string | undefined, now: number): void {
+    this.#interruptions = this.#interruptions.filter((interruption) =>
+      interruption.at > now - CRASH_WINDOW
+    );
+    if (fingerprint !== undefined) {
+      this.#interruptions.push({ fingerprint, at: now });
+    }
+  }
+
+  /**
+   * Returns the fingerprints of the requests that were running when the server
+   * crashed, and clears the collection.
+   */
+  flush(now: number): string[] {
+    const recent = this.#interruptions.filter((interruption) =>
+      interruption.at > now - CRASH_WINDOW
+    );
+    this.#interruptions = [];
+    return [...new Set(recent.map((interruption) => interruption.fingerprint))];
+  }
+}
--- a/packages/daemon/src/sidecar/reservation_check.ts
+++ b/packages/daemon/src/sidecar/reservation_check.ts
@@ -1,27 +1,27 @@
-/** Whether a reservation can be taken in at all. @module */
+/** Checks whether the sidecar can accept a reservation. @module */
 import type {
   ReserveMessage,
   SidecarRefusalReason,
 } from "@sycamorepulley/protocol";
 
-/** What this sidecar stands for and how it is. */
-export type SidecarCondition = {
+/** The sidecar's service and current state. */
+export type SidecarState = {
   service: string;
-  leaving: boolean;
+  draining: boolean;
   healthy: boolean;
   versionStopped: boolean;
 };
 
-/** The reason that speaks against `reserve`, if any. */
-export function objection(
+/** Returns the reason to refuse `reserve`, if there is one. */
+export function refusalReason(
   reserve: ReserveMessage,
-  condition: SidecarCondition,
+  state: SidecarState,
 ): SidecarRefusalReason | undefined {
-  // An entry that works from a stale list still comes; it must learn at once
-  // that this server leaves, and not by waiting in vain.
-  if (condition.leaving) return "leaving";
-  if (reserve.service !== condition.service) return "wrong_service";
-  if (!condition.healthy) return "unhealthy";
-  if (condition.versionStopped) return "version_stopped";
+  // An entry with an outdated instance list still sends reservations. Refusing
+  // them at once lets it choose another server without waiting.
+  if (state.draining) return "leaving";
+  if (reserve.service !== state.service) return "wrong_service";
+  if (!state.healthy) return "unhealthy";
+  if (state.versionStopped) return "version_stopped";
   return undefined;
 }
--- a/packages/daemon/src/sidecar/reservation_table.ts
+++ b/packages/daemon/src/sidecar/reservation_table.ts
@@ -1,23 +1,23 @@
-/** Which entry's connection holds which reservation. @module */
+/** The reservations of each entry's connection. @module */
 import type { ReserveMessage } from "@sycamorepulley/protocol";
 import type { EntryConnection } from "./entry_connection.ts";
 
-/** A reservation and where its grant or refusal goes. */
+/** A reservation, and the connection to which its grant or refusal is sent. */
 export type ReservationRecord = {
   connection: EntryConnection;
   reserve: ReserveMessage;
 };
 
-/** Reservations that wait or are granted; running ones have left it. */
+/** Holds waiting and granted reservations, but not those that are running. */
 export class ReservationTable {
   readonly #records = new Map<string, ReservationRecord>();
-  readonly #ofConnection = new Map<EntryConnection, Set<string>>();
+  readonly #idsByConnection = new Map<EntryConnection, Set<string>>();
 
   add(id: string, record: ReservationRecord): void {
     this.#records.set(id, record);
-    const ids = this.#ofConnection.get(record.connection) ?? new Set();
+    const ids = this.#idsByConnection.get(record.connection) ?? new Set();
     ids.add(id);
-    this.#ofConnection.set(record.connection, ids);
+    this.#idsByConnection.set(record.connection, ids);
   }
 
   has(id: string): boolean {
@@ -33,14 +33,14 @@
     const record = this.#records.get(id);
     if (!record) return undefined;
     this.#records.delete(id);
-    this.#ofConnection.get(record.connection)?.delete(id);
+    this.#idsByConnection.get(record.connection)?.delete(id);
     return record;
   }
 
-  /** Removes a connection with all its reservations; their names. */
+  /** Removes a connection with its reservations; returns their identifiers. */
   removeConnection(connection: EntryConnection): string[] {
-    const ids = [...this.#ofConnection.get(connection) ?? []];
-    this.#ofConnection.delete(connection);
+    const ids = [...this.#idsByConnection.get(connection) ?? []];
+    this.#idsByConnection.delete(connection);
     for (const id of ids) this.#records.delete(id);
     return ids;
   }
--- a/packages/daemon/src/sidecar/run_outcome.ts
+++ b/packages/daemon/src/sidecar/run_outcome.ts
@@ -1,17 +1,20 @@
-/** What a run's end says about its backend server. @module */
+/** Interprets how a request ended for the backend server that ran it. @module */
 import type { RunOutcome } from "./backend_client.ts";
 
-/** Whether the end speaks against the server and not its caller. */
-export function serverFailed(outcome: RunOutcome): boolean {
+/**
+ * Whether the outcome counts as a failure of the server: any failure other than
+ * a cancellation, or a response with a status of 500 or above.
+ */
+export function isServerFailure(outcome: RunOutcome): boolean {
   return outcome.kind === "whole"
     ? outcome.status >= 500
     : outcome.reason !== "cancelled";
 }
 
-/** The end as the server's limit counts it. */
+/** Returns the outcome as the server's concurrency limit counts it. */
 export function limitOutcome(
   outcome: RunOutcome,
 ): "ok" | "failed" | "cancelled" {
-  if (serverFailed(outcome)) return "failed";
+  if (isServerFailure(outcome)) return "failed";
   return outcome.kind === "whole" ? "ok" : "cancelled";
 }
--- a/packages/daemon/src/sidecar/running_request.ts
+++ b/packages/daemon/src/sidecar/running_request.ts
@@ -1,4 +1,7 @@
-/** One request at the backend server, its answer relayed as it comes. @module */
+/**
+ * One request at the backend server, whose response is streamed to the entry.
+ * @module
+ */
 import type {
   Cost,
   FailedMessage,
@@ -7,12 +10,12 @@
   ReserveMessage,
 } from "@sycamorepulley/protocol";
 import { monotonicNow } from "../common/clock.ts";
-import { AnswerReceiver } from "./backend_client.ts";
+import { ResponseReceiver } from "./backend_client.ts";
 import type { EntryConnection } from "./entry_connection.ts";
 
-/** Told of an answer's progress, for the limits. */
+/** Receives the progress of responses, for the server's limits. */
 export type ProgressListener = {
-  /** `startedAt`: when the request was sent to the server. */
+  /** `startedAt` is the monotonic time, in ms, at which the request was sent. */
   onHead(headers: HttpHeaders, startedAt: number): void;
   onFirstToken(id: string, now: number): void;
   onProgress(id: string, outputTokens: number): void;
@@ -28,16 +31,16 @@
   listener: ProgressListener;
 };
 
-/** Relays an answer to the entry in numbered chunks. */
-export class RunningRequest extends AnswerReceiver {
+/** Relays a response to the entry in numbered chunks. */
+export class RunningRequest extends ResponseReceiver {
   readonly id: string;
   readonly reserve: ReserveMessage;
   readonly handOver: HandOverMessage;
-  readonly abort = new AbortController();
+  readonly abortController = new AbortController();
   readonly #connection: EntryConnection;
   readonly #listener: ProgressListener;
-  #chunks = 0;
-  #length = 0;
+  #chunkCount = 0;
+  #byteCount = 0;
   #outputTokens = 0;
   #firstTokenAt: number | undefined;
   readonly #startedAt: number;
@@ -52,8 +55,12 @@
     this.#startedAt = options.startedAt;
   }
 
-  /** What a whole answer cost; streamed tokens are counted, others guessed. */
-  served(now: number): { cost: Cost; firstToken: number; total: number } {
+  /**
+   * Returns the cost of a complete response, and its times in milliseconds from
+   * the start. Output tokens are counted if the response was streamed; otherwise
+   * the reservation's estimate is used.
+   */
+  measure(now: number): { cost: Cost; firstToken: number; total: number } {
     const { promptTokens, outputTokens } = this.reserve.cost;
     return {
       cost: {
@@ -69,7 +76,7 @@
     return this.#connection === connection;
   }
 
-  override head(status: number, headers: HttpHeaders): void {
+  override receiveHead(status: number, headers: HttpHeaders): void {
     this.#listener.onHead(headers, this.#startedAt);
     this.#connection.send({
       type: "head",
@@ -79,39 +86,42 @@
     });
   }
 
-  override async chunk(bytes: Uint8Array, outputTokens: number): Promise<void> {
-    if (this.#firstTokenAt === undefined) this.#begin();
+  override async receiveChunk(
+    bytes: Uint8Array,
+    outputTokens: number,
+  ): Promise<void> {
+    if (this.#firstTokenAt === undefined) this.#recordFirstToken();
     this.#outputTokens += outputTokens;
     if (outputTokens > 0) this.#listener.onProgress(this.id, outputTokens);
     this.#connection.send({
       type: "chunk",
       reservation: this.handOver.reservation,
-      sequence: this.#chunks,
+      sequence: this.#chunkCount,
       bytes,
     });
-    this.#chunks += 1;
-    this.#length += bytes.byteLength;
-    await this.#connection.drained();
+    this.#chunkCount += 1;
+    this.#byteCount += bytes.byteLength;
+    await this.#connection.waitForDrain();
   }
 
-  #begin(): void {
+  #recordFirstToken(): void {
     this.#firstTokenAt = monotonicNow();
     this.#listener.onFirstToken(this.id, this.#firstTokenAt);
   }
 
-  /** Tells the entry that the answer broke off, or never began. */
-  fail(ran: FailedMessage["ran"], reason: FailedMessage["reason"]): void {
+  /** Notifies the entry that the response broke off or never started. */
+  sendFailed(ran: FailedMessage["ran"], reason: FailedMessage["reason"]): void {
     const { reservation } = this.handOver;
     this.#connection.send({ type: "failed", reservation, ran, reason });
   }
 
-  /** Tells the entry that the answer is whole. */
-  end(): void {
+  /** Notifies the entry that the response is complete. */
+  sendEnd(): void {
     this.#connection.send({
       type: "end",
       reservation: this.handOver.reservation,
-      chunks: this.#chunks,
-      length: this.#length,
+      chunks: this.#chunkCount,
+      length: this.#byteCount,
     });
   }
 }
--- a/packages/daemon/src/sidecar/sidecar.ts
+++ b/packages/daemon/src/sidecar/sidecar.ts
@@ -1,6 +1,7 @@
 /**
- * The sidecar role: the only way to its backend server. Reservations wait
- * here; a grant offers room; the request comes in answer and runs once.
+ * The sidecar role. All requests to a backend server pass through its sidecar:
+ * reservations wait here, a grant offers free capacity to one of them, and in
+ * response the entry hands over the request, which runs once.
  * @module
  */
 import type {
@@ -17,162 +18,174 @@
 } from "@sycamorepulley/protocol";
 import { monotonicNow, wallNow } from "../common/clock.ts";
 import type { RunOutcome } from "./backend_client.ts";
-import { limitOutcome, serverFailed } from "./run_outcome.ts";
+import { isServerFailure, limitOutcome } from "./run_outcome.ts";
 import { CrashReporter } from "./crash_reporter.ts";
 import { EntryMessageHandler } from "./entry_connection.ts";
 import type { EntryConnection } from "./entry_connection.ts";
-import { objection } from "./reservation_check.ts";
+import { refusalReason } from "./reservation_check.ts";
 import { ReservationTable } from "./reservation_table.ts";
 import type { SidecarOptions } from "./sidecar_options.ts";
-import { RequestRuns } from "./request_runs.ts";
+import { RunningRequests } from "./running_requests.ts";
 import type { RunningRequest } from "./running_request.ts";
 
-/** How often lapsed grants and missed deadlines are looked for. */
-const TICK = 25;
+/** Milliseconds between two checks for expired grants and missed deadlines. */
+const TICK_INTERVAL = 25;
 
-/** One backend server's queue, limit, health and running requests. */
+/**
+ * Connects the queue, the limits, the health and the running requests of one
+ * backend server with the entries.
+ */
 export class Sidecar extends EntryMessageHandler {
   readonly #options: SidecarOptions;
-  readonly #desk: ReservationScheduler;
+  readonly #scheduler: ReservationScheduler;
   readonly #reservations = new ReservationTable();
-  readonly #runs: RequestRuns;
+  readonly #running: RunningRequests;
   readonly #connections = new Set<EntryConnection>();
-  readonly #crashes: CrashReporter;
-  #leaving = false;
+  readonly #crashReporter: CrashReporter;
+  #draining = false;
   #healthy = false;
-  #timer: NodeJS.Timeout | undefined;
+  #tickTimer: NodeJS.Timeout | undefined;
 
   constructor(options: SidecarOptions) {
     super();
     this.#options = options;
-    this.#desk = options.desk;
+    this.#scheduler = options.scheduler;
     const { instance, suspects, probe } = options;
-    this.#crashes = new CrashReporter({
+    this.#crashReporter = new CrashReporter({
       instance,
       suspects,
       probe,
       broadcast: (message) => this.#broadcast(message),
     });
-    this.#runs = new RequestRuns({
+    this.#running = new RunningRequests({
       client: options.client,
       listener: {
-        onHead: (headers, startedAt) => this.#hear(headers, startedAt),
-        onFirstToken: (id, now) => this.#desk.firstToken(id, now),
+        onHead: (headers, startedAt) =>
+          this.#observeServerLimit(headers, startedAt),
+        onFirstToken: (id, now) => this.#scheduler.firstToken(id, now),
         onProgress: (id, outputTokens) =>
-          this.#carryOut(
-            this.#desk.progressed(id, outputTokens, monotonicNow()),
+          this.#applyDecisions(
+            this.#scheduler.progressed(id, outputTokens, monotonicNow()),
           ),
       },
       diagnose: (request) =>
-        this.#crashes.diagnose(request.reserve.fingerprint),
-      onSettled: (request, outcome, now) => this.#settle(request, outcome, now),
+        this.#crashReporter.diagnose(request.reserve.fingerprint),
+      onFinished: (request, outcome, now) =>
+        this.#finishRun(request, outcome, now),
     });
   }
 
+  /** The current load, as it is sent to entries. */
   get load(): LoadMessage {
     const now = monotonicNow();
     return {
       type: "load",
-      running: this.#desk.occupied,
-      waiting: this.#desk.waiting,
-      limit: this.#options.limit(),
+      running: this.#scheduler.occupied,
+      waiting: this.#scheduler.waiting,
+      limit: this.#options.concurrencyLimit(),
       ...this.#lowestTier(),
       expectedWait: this.#options.expectedWait(now),
-      healthy: this.#healthy && !this.#leaving,
+      healthy: this.#healthy && !this.#draining,
     };
   }
 
-  get leaving(): boolean {
-    return this.#leaving;
+  get draining(): boolean {
+    return this.#draining;
   }
 
-  connected(connection: EntryConnection): void {
+  /** Adds an entry's connection and sends it the load and the moves' records. */
+  addConnection(connection: EntryConnection): void {
     this.#connections.add(connection);
     connection.send(this.load);
-    for (const text of this.#options.guard.records) {
+    for (const text of this.#options.versionGuard.records) {
       connection.send({ type: "moveRecord", text });
     }
   }
 
-  /** The backend server's health changed. */
-  healthChanged(healthy: boolean): void {
+  /** Handles a change of the backend server's health. */
+  setHealthy(healthy: boolean): void {
     const now = monotonicNow();
     this.#healthy = healthy;
     this.#options.log.info(
       healthy ? "backend server healthy" : "backend server unhealthy",
     );
-    if (healthy) this.#desk.open();
+    if (healthy) this.#scheduler.open();
     else {
-      this.#carryOut(this.#desk.close("unhealthy", now));
-      this.#crashes.tell(now);
+      this.#applyDecisions(this.#scheduler.close("unhealthy", now));
+      this.#crashReporter.reportCrash(now);
     }
     this.#broadcast(this.load);
   }
 
-  /** No new work from now on; resolves once nothing runs. */
-  async leave(): Promise<void> {
-    this.#leaving = true;
+  /** Accepts no new work from now on; resolves once no request is running. */
+  async drain(): Promise<void> {
+    this.#draining = true;
     this.#broadcast({ type: "leaving" });
-    this.#carryOut(this.#desk.close("leaving", monotonicNow()));
-    await this.#runs.idle();
+    this.#applyDecisions(this.#scheduler.close("leaving", monotonicNow()));
+    await this.#running.waitUntilIdle();
     for (const connection of this.#connections) connection.end();
-    clearTimeout(this.#timer);
+    clearTimeout(this.#tickTimer);
   }
 
-  override onMessage(connection: EntryConnection, message: Message): void {
+  override handleMessage(connection: EntryConnection, message: Message): void {
     switch (message.type) {
       case "reserve":
-        return this.#reserve(connection, message);
+        return this.#handleReserve(connection, message);
       case "withdraw":
-        return this.#withdraw(connection.reservationId(message.reservation));
+        return this.#handleWithdraw(
+          connection.reservationId(message.reservation),
+        );
       case "handOver":
-        return this.#handOver(connection, message);
+        return this.#handleHandOver(connection, message);
       case "cancel":
-        return this.#runs.cancel(
+        return this.#running.cancel(
           connection.reservationId(message.reservation),
         );
       case "crashed":
-        return this.#crashes.learn(message);
+        return this.#crashReporter.recordCrash(message);
       case "moveRecord":
-        return this.#options.guard.offerRecord(message.text);
+        return this.#options.versionGuard.receiveRecord(message.text);
       default:
         return this.#options.onOtherMessage(connection, message);
     }
   }
 
-  /** The entry is gone: what it reserved is void, what can't repeat runs on. */
-  override onEnd(connection: EntryConnection): void {
+  /**
+   * Withdraws the reservations of an entry that disconnected, and cancels its
+   * requests except those that can't be retried.
+   */
+  override handleEnd(connection: EntryConnection): void {
     this.#connections.delete(connection);
     const now = monotonicNow();
     for (const id of this.#reservations.removeConnection(connection)) {
-      this.#carryOut(this.#desk.withdraw(id, now));
+      this.#applyDecisions(this.#scheduler.withdraw(id, now));
     }
-    this.#runs.entryGone(connection);
+    this.#running.cancelForConnection(connection);
   }
 
-  #reserve(connection: EntryConnection, reserve: ReserveMessage): void {
+  #handleReserve(connection: EntryConnection, reserve: ReserveMessage): void {
     const now = monotonicNow();
     const { service, metrics, suspects, weightOf } = this.#options;
     metrics.reservations.inc({ service });
     const id = connection.reservationId(reserve.reservation);
-    const reason = objection(reserve, {
+    const reason = refusalReason(reserve, {
       service,
-      leaving: this.#leaving,
+      draining: this.#draining,
       healthy: this.#healthy,
-      versionStopped: this.#options.guard.stopped(now),
+      versionStopped: this.#options.versionGuard.isStopped(now),
     });
     if (reason) return this.#refuse(connection, reserve.reservation, reason);
     const verdict = suspects.verdict(reserve.fingerprint ?? "", now);
     if (verdict.kind === "quarantined") {
       return this.#refuse(connection, reserve.reservation, "quarantined");
     }
-    if (this.#reservations.has(id) || this.#runs.has(id)) {
+    if (this.#reservations.has(id) || this.#running.has(id)) {
       metrics.ignoredMessages.inc({ type: "reserve" });
       return;
     }
     this.#reservations.add(id, { connection, reserve });
-    this.#carryOut(
-      this.#desk.reserve({
+    this.#applyDecisions(
+      this.#scheduler.reserve({
         id,
         tierRank: reserve.tierRank,
         organisation: reserve.organisation,
@@ -183,21 +196,24 @@
         suspect: verdict.kind === "suspect" || reserve.suspect === true,
       }, now),
     );
-    this.#arm();
+    this.#scheduleTick();
   }
 
-  #withdraw(id: string): void {
+  #handleWithdraw(id: string): void {
     if (!this.#reservations.take(id)) return;
-    this.#carryOut(this.#desk.withdraw(id, monotonicNow()));
+    this.#applyDecisions(this.#scheduler.withdraw(id, monotonicNow()));
   }
 
-  #handOver(connection: EntryConnection, handOver: HandOverMessage): void {
+  #handleHandOver(
+    connection: EntryConnection,
+    handOver: HandOverMessage,
+  ): void {
     const id = connection.reservationId(handOver.reservation);
     const record = this.#reservations.take(id);
-    const redeemed = this.#desk.redeem(id, handOver.grant);
+    const redeemed = this.#scheduler.redeem(id, handOver.grant);
     if (!record || !redeemed.valid) {
-      // The grant lapsed while the entry was paused: nothing ran, and saying
-      // so is true because the body goes no further than here.
+      // The grant expired, for instance while the entry was paused. The request
+      // is not passed on to the server, so it certainly did not run.
       return connection.send({
         type: "failed",
         reservation: handOver.reservation,
@@ -206,10 +222,10 @@
       });
     }
     const { reserve } = record;
-    this.#runs.start({ id, connection, reserve, handOver });
+    this.#running.start({ id, connection, reserve, handOver });
   }
 
-  #settle(
+  #finishRun(
     request: RunningRequest,
     outcome: RunOutcome,
     now: number,
@@ -217,26 +233,26 @@
     const { reserve } = request;
     const { suspects } = this.#options;
     if (outcome.kind === "whole") {
-      this.#options.onServed(request.served(now), now);
+      this.#options.onResponseComplete(request.measure(now), now);
       if (reserve.fingerprint) {
         suspects.recordCleanRun(reserve.fingerprint, now);
       }
     } else if (outcome.reason === "connect_failed") {
-      this.#options.probe().down();
+      this.#options.probe().markUnhealthy();
     }
     const { route } = reserve;
-    const failed = serverFailed(outcome);
-    this.#options.guard.ended({ route, failed }, now, wallNow());
-    this.#carryOut(
-      this.#desk.finished(request.id, limitOutcome(outcome), now),
+    const failed = isServerFailure(outcome);
+    this.#options.versionGuard.recordCall({ route, failed }, now, wallNow());
+    this.#applyDecisions(
+      this.#scheduler.finished(request.id, limitOutcome(outcome), now),
     );
   }
 
-  #carryOut(decisions: ReservationDecision[]): void {
-    for (const decision of decisions) this.#carryOutOne(decision);
+  #applyDecisions(decisions: ReservationDecision[]): void {
+    for (const decision of decisions) this.#applyDecision(decision);
   }
 
-  #carryOutOne(decision: ReservationDecision): void {
+  #applyDecision(decision: ReservationDecision): void {
     const { service, metrics } = this.#options;
     const record = decision.kind === "grant"
       ? this.#reservations.get(decision.id)
@@ -272,11 +288,13 @@
     connection.sendLoad(() => this.load, monotonicNow());
   }
 
-  #hear(headers: HttpHeaders, startedAt: number): void {
+  #observeServerLimit(headers: HttpHeaders, startedAt: number): void {
     const now = monotonicNow();
-    const { statedLimit } = this.#options;
-    if (!statedLimit.heard(headers, startedAt, now)) return;
-    this.#carryOut(this.#desk.setRateLimit(statedLimit.perSecond, now));
+    const { statedServerLimit } = this.#options;
+    if (!statedServerLimit.observe(headers, startedAt, now)) return;
+    this.#applyDecisions(
+      this.#scheduler.setRateLimit(statedServerLimit.perSecond, now),
+    );
   }
 
   #broadcast(message: Message): void {
@@ -284,17 +302,22 @@
   }
 
   #lowestTier(): { lowestTierRank?: number } {
-    const lowestTierRank = this.#desk.lowestTierRank;
+    const lowestTierRank = this.#scheduler.lowestTierRank;
     return lowestTierRank === undefined ? {} : { lowestTierRank };
   }
 
-  /** Ticks while anything waits or is granted; an idle sidecar sleeps. */
-  #arm(): void {
-    if (this.#timer || this.#leaving) return;
-    this.#timer = setTimeout(() => {
-      this.#timer = undefined;
-      this.#carryOut(this.#desk.tick(monotonicNow()));
-      if (this.#desk.waiting > 0 || this.#desk.openGrants > 0) this.#arm();
-    }, TICK);
+  /**
+   * Schedules the next tick. Ticks continue while reservations wait or grants are
+   * open; an idle sidecar needs no timer.
+   */
+  #scheduleTick(): void {
+    if (this.#tickTimer || this.#draining) return;
+    this.#tickTimer = setTimeout(() => {
+      this.#tickTimer = undefined;
+      this.#applyDecisions(this.#scheduler.tick(monotonicNow()));
+      if (this.#scheduler.waiting > 0 || this.#scheduler.openGrants > 0) {
+        this.#scheduleTick();
+      }
+    }, TICK_INTERVAL);
   }
 }
--- a/packages/daemon/src/sidecar/sidecar_estimates.ts
+++ b/packages/daemon/src/sidecar/sidecar_estimates.ts
@@ -1,12 +1,12 @@
-/** What a sidecar has learned of its backend server's speed. @module */
+/** Estimates of the backend server's speed, from completed responses. @module */
 import { DrainRate, ServiceTimeEstimator } from "@sycamorepulley/decisions";
 import type { Cost, WaitingQueue } from "@sycamorepulley/decisions";
 import type { ReserveMessage } from "@sycamorepulley/protocol";
 
-/** Tiers beyond any rank: advice counts all that waits. */
+/** A tier rank below all tiers, so that estimates include everything that waits. */
 const LOWEST_RANK = Number.MAX_SAFE_INTEGER;
 
-/** Times and rates of one backend server; durations in milliseconds. */
+/** Estimates for one backend server; durations in milliseconds. */
 export class SidecarEstimates {
   readonly #serviceTime = new ServiceTimeEstimator();
   readonly #drainRate = new DrainRate();
@@ -17,7 +17,7 @@
     this.#kind = kind;
   }
 
-  /** Time from a grant within which the answer is likely to be whole. */
+  /** Returns the time from a grant within which a response is likely complete. */
   expectedTime(cost: Cost): number {
     return this.#kind === "model"
       ? this.#serviceTime.conservativeTotal(cost)
@@ -25,10 +25,10 @@
   }
 
   /**
-   * Time in which the whole answer must come: the caller's, or less where its
-   * first token would come too late to be good. Without the second bound a
-   * third of all prefill under overload is spent on answers that come late
-   * (docs/DECISIONS.md).
+   * Returns the time within which the whole response must arrive: the caller's
+   * remaining time, or less if its first token would miss the goal. Without the
+   * second limit a third of all prefill under overload is spent on responses
+   * that come too late (docs/DECISIONS.md).
    */
   timeAllowed(reserve: ReserveMessage): number {
     const { cost, remaining, firstTokenRemaining } = reserve;
@@ -38,20 +38,21 @@
     return Math.min(remaining, firstTokenRemaining + decoding);
   }
 
+  /** Updates the estimates with a completed response. */
   observe(
-    served: { cost: Cost; firstToken: number; total: number },
+    measurement: { cost: Cost; firstToken: number; total: number },
     now: number,
   ): void {
     this.#drainRate.observe(
-      served.cost.promptTokens + served.cost.outputTokens,
+      measurement.cost.promptTokens + measurement.cost.outputTokens,
       now,
     );
-    if (this.#kind === "model") return this.#serviceTime.observe(served);
-    const known = this.#meanPlainTime ?? served.total;
-    this.#meanPlainTime = known + (served.total - known) / 16;
+    if (this.#kind === "model") return this.#serviceTime.observe(measurement);
+    const mean = this.#meanPlainTime ?? measurement.total;
+    this.#meanPlainTime = mean + (measurement.total - mean) / 16;
   }
 
-  /** When a refused request may come back. */
+  /** Returns the time after which a refused request may be retried. */
   retryAfter(queue: WaitingQueue, now: number, random: number): number {
     return this.#drainRate.retryAfter(
       queue.workAhead(LOWEST_RANK),
@@ -60,7 +61,7 @@
     );
   }
 
-  /** How long a new reservation of the lowest tier would wait. */
+  /** Returns the time that a new reservation of the lowest tier would wait. */
   expectedWait(queue: WaitingQueue, now: number): number {
     return this.#drainRate.expectedWait(queue.workAhead(LOWEST_RANK), now);
   }
--- a/packages/daemon/src/sidecar/sidecar_options.ts
+++ b/packages/daemon/src/sidecar/sidecar_options.ts
@@ -1,4 +1,4 @@
-/** What a sidecar is built from. @module */
+/** Options of the sidecar role. @module */
 import type {
   CrashSuspects,
   ReservationScheduler,
@@ -12,32 +12,33 @@
 import type { StatedServerLimit } from "./stated_server_limit.ts";
 import type { VersionGuard } from "./version_guard.ts";
 
-/** Options of the sidecar role. */
+/** Components and callbacks of a sidecar. */
 export type SidecarOptions = {
   instance: string;
   service: string;
-  desk: ReservationScheduler;
-  guard: VersionGuard;
+  scheduler: ReservationScheduler;
+  versionGuard: VersionGuard;
   suspects: CrashSuspects;
   client: BackendClient;
   probe: () => HealthProbe;
-  /** Share of an organisation beside others, from the configuration. */
+  /** Returns an organisation's weight relative to others, from the configuration. */
   weightOf: (organisation: string) => number;
-  /** Milliseconds within which a reservation's answer must be whole. */
+  /** Returns the milliseconds within which a response must be complete. */
   timeAllowed: (reserve: ReserveMessage) => number;
-  /** Milliseconds until a refused request may come back. */
+  /** Returns the milliseconds after which a refused request may be retried. */
   retryAfter: (now: number) => number;
-  /** Milliseconds that a new reservation of the lowest tier would wait. */
+  /** Returns the milliseconds that a reservation of the lowest tier would wait. */
   expectedWait: (now: number) => number;
-  /** A whole answer; times in milliseconds from the hand-over. */
-  onServed: (
-    served: { cost: Cost; firstToken: number; total: number },
+  /** Called after a complete response; times in milliseconds from the hand-over. */
+  onResponseComplete: (
+    measurement: { cost: Cost; firstToken: number; total: number },
     now: number,
   ) => void;
-  /** Messages that concern the configuration, not requests. */
+  /** Called for messages that concern the configuration, not requests. */
   onOtherMessage: (connection: EntryConnection, message: Message) => void;
-  limit: () => number;
-  statedLimit: StatedServerLimit;
+  /** Returns the number of requests that may run at once. */
+  concurrencyLimit: () => number;
+  statedServerLimit: StatedServerLimit;
   metrics: Metrics;
   log: Log;
 };
--- a/packages/daemon/src/sidecar/start_sidecar.ts
+++ b/packages/daemon/src/sidecar/start_sidecar.ts
@@ -1,4 +1,4 @@
-/** Builds and starts the sidecar role. @module */
+/** Creates and starts a sidecar. @module */
 import {
   CallLimit,
   CrashSuspects,
@@ -27,16 +27,16 @@
 import { VersionGuard } from "./version_guard.ts";
 import { SidecarEstimates } from "./sidecar_estimates.ts";
 
-/** Starts a sidecar; it takes reservations once its server is healthy. */
+/** Starts a sidecar, which accepts reservations once its server is healthy. */
 export async function startSidecar(
   settings: SidecarSettings,
 ): Promise<RunningDaemon> {
-  const parts = createComponents(settings);
-  const { metrics, log, lifecycle, configuration, random } = parts;
-  const following = new AbortController();
+  const components = createComponents(settings);
+  const { metrics, log, lifecycle, configuration, random } = components;
+  const configurationAbort = new AbortController();
   const limit = createLimit(settings);
   const client = createClient(settings);
-  const sidecar: Sidecar = createSidecar(settings, parts, {
+  const sidecar: Sidecar = createSidecar(settings, components, {
     limit,
     client,
     probe: () => probe,
@@ -45,22 +45,28 @@
     client,
     path: settings.backendServer.healthPath,
     interval: settings.backendServer.healthInterval,
-    onChange: (healthy) => sidecar.healthChanged(healthy),
+    onChange: (healthy) => sidecar.setHealthy(healthy),
   });
   let sequence = 0;
-  const serve = (open: EstablishedLink): Promise<LinkError | undefined> => {
+  const serveLink = (
+    established: EstablishedLink,
+  ): Promise<LinkError | undefined> => {
     sequence += 1;
-    const connection = new EntryConnection({ open, sequence });
-    sidecar.connected(connection);
-    const { peerRevision } = connection;
-    configuration.recordPeerRevision(connection, peerRevision, monotonicNow());
+    const connection = new EntryConnection({ established, sequence });
+    sidecar.addConnection(connection);
+    const { peerConfigurationRevision } = connection;
+    configuration.recordPeerRevision(
+      connection,
+      peerConfigurationRevision,
+      monotonicNow(),
+    );
     return connection.run(sidecar);
   };
   const protocol = await startProtocolServer({
     address: settings.protocol,
-    createHello: parts.createHello,
+    createHello: components.createHello,
     maxLinks: settings.bounds.links,
-    serveLink: serve,
+    serveLink,
     metrics,
     log,
   });
@@ -68,30 +74,30 @@
     address: settings.status,
     metrics,
     isReady: () => lifecycle.state === "ready" && sidecar.load.healthy,
-    getStatus: () => statusOf(settings, parts, sidecar),
+    getStatus: () => createStatus(settings, components, sidecar),
   });
   const membership = new Membership({
-    list: parts.instanceList,
-    self: instanceOf(settings, protocol.port, status.port),
+    list: components.instanceList,
+    self: createInstance(settings, protocol.port, status.port),
     fleetSize: settings.platform.fleetSize,
     random,
     metrics,
     log,
   });
-  void configuration.run(following.signal);
+  void configuration.run(configurationAbort.signal);
   void probe.run();
   void membership.run();
   lifecycle.apply("started");
   const stop = async () => {
     if (!lifecycle.apply("stop")) return;
     log.info("leaving");
-    const left = sidecar.leave();
+    const drained = sidecar.drain();
     await membership.announceDraining();
-    const whole = await completesWithin(left, settings.shutdownWait);
-    if (!whole) log.warn("requests still running at the end of the wait");
+    const completed = await completesWithin(drained, settings.shutdownWait);
+    if (!completed) log.warn("requests still running at the end of the wait");
     await membership.deregister();
     probe.stop();
-    following.abort();
+    configurationAbort.abort();
     protocol.close();
     status.close();
     await client.close();
@@ -110,19 +116,19 @@
 function createClient(settings: SidecarSettings): BackendClient {
   const { url, kind } = settings.backendServer;
   const { answerBytes } = settings.bounds;
-  return new BackendClient({ url, kind, answerBytes });
+  return new BackendClient({ url, kind, maxResponseBytes: answerBytes });
 }
 
 function createSidecar(
   settings: SidecarSettings,
-  parts: ProcessComponents,
-  own: {
+  components: ProcessComponents,
+  dependencies: {
     limit: ConcurrencyLimit;
     client: BackendClient;
     probe: () => HealthProbe;
   },
 ): Sidecar {
-  const { metrics, log, configuration, random } = parts;
+  const { metrics, log, configuration, random } = components;
   const { service, kind } = settings.backendServer;
   const estimates = new SidecarEstimates(kind);
   const queue = new WaitingQueue({
@@ -132,16 +138,17 @@
   return new Sidecar({
     instance: settings.instance,
     service,
-    guard: new VersionGuard(settings.backendServer.version),
-    desk: new ReservationScheduler({ queue, limit: own.limit }),
+    versionGuard: new VersionGuard(settings.backendServer.version),
+    scheduler: new ReservationScheduler({ queue, limit: dependencies.limit }),
     suspects: new CrashSuspects(),
-    client: own.client,
-    probe: own.probe,
+    client: dependencies.client,
+    probe: dependencies.probe,
     weightOf: (name) => configuration.index?.organisation(name)?.weight ?? 1,
     timeAllowed: (reserve) => estimates.timeAllowed(reserve),
     retryAfter: (now) => estimates.retryAfter(queue, now, random()),
     expectedWait: (now) => estimates.expectedWait(queue, now),
-    onServed: (served, now) => estimates.observe(served, now),
+    onResponseComplete: (measurement, now) =>
+      estimates.observe(measurement, now),
     onOtherMessage: (connection, message) => {
       if (message.type === "heartbeat") {
         const { configurationRevision } = message;
@@ -158,8 +165,8 @@
       }
       configuration.handleMessage(connection, message);
     },
-    limit: () => own.limit.limit,
-    statedLimit: new StatedServerLimit({
+    concurrencyLimit: () => dependencies.limit.limit,
+    statedServerLimit: new StatedServerLimit({
       header: settings.backendServer.limitHeader,
       instance: settings.instance,
       log,
@@ -169,7 +176,7 @@
   });
 }
 
-function instanceOf(
+function createInstance(
   settings: SidecarSettings,
   port: number,
   statusPort: number,
@@ -190,7 +197,7 @@
   };
 }
 
-async function statusOf(
+async function createStatus(
   settings: SidecarSettings,
   parts: ProcessComponents,
   sidecar: Sidecar,
--- a/packages/daemon/src/sidecar/stated_server_limit.ts
+++ b/packages/daemon/src/sidecar/stated_server_limit.ts
@@ -1,37 +1,42 @@
 /**
- * The limit that the backend server beside a sidecar states in its answers.
+ * The rate limit that the sidecar's backend server states in its responses.
  *
- * The sidecar is the only way to its server, so it alone keeps to the limit.
+ * All requests reach the server through its sidecar, so the sidecar enforces the
+ * limit alone.
  * @module
  */
 import { parseServerLimit, ServerLimits } from "@sycamorepulley/decisions";
 import type { HttpHeaders } from "@sycamorepulley/protocol";
 import type { Log } from "../common/log.ts";
 
-/** Its server is the only one that a sidecar knows. */
-const SERVER = "beside";
+/** Key of the sidecar's server, the only one in its limits. */
+const SERVER_KEY = "backend server";
 
-/** See the module. */
+/** Tracks the limit from the headers of responses. */
 export class StatedServerLimit {
   readonly #limits = new ServerLimits();
   readonly #header: string;
   readonly #instance: string;
   readonly #log: Log;
 
-  /** `header` holds the limit. */
+  /** `header` is the name of the header that states the limit. */
   constructor(options: { header: string; instance: string; log: Log }) {
     this.#header = options.header.toLowerCase();
     this.#instance = options.instance;
     this.#log = options.log;
   }
 
-  /** Requests a second; `undefined` while the server states none. */
+  /** Requests per second; `undefined` while the server states no limit. */
   get perSecond(): number | undefined {
-    return this.#limits.find(SERVER)?.perSecond;
+    return this.#limits.find(SERVER_KEY)?.perSecond;
   }
 
-  /** Takes the headers of an answer to a request sent at `sentAt`; true if news. */
-  heard(headers: HttpHeaders, sentAt: number, now: number): boolean {
+  /**
+   * Reads the limit from the headers of a response, received at `now`, to a
+   * request sent at `sentAt` (both monotonic milliseconds). Returns whether the
+   * limit changed.
+   */
+  observe(headers: HttpHeaders, sentAt: number, now: number): boolean {
     const stated = parseServerLimit(headers[this.#header]);
     if (stated.isErr) {
       const { error: value } = stated;
@@ -45,7 +50,9 @@
       by: this.#instance,
       observedAt,
     };
-    if (this.#limits.observe(SERVER, observation) !== "changed") return false;
+    if (this.#limits.observe(SERVER_KEY, observation) !== "changed") {
+      return false;
+    }
     if (perSecond === undefined) this.#log.info("server limit ended");
     else this.#log.info("server limit stated", { perSecond });
     return true;
--- a/packages/daemon/src/sidecar/version_guard.ts
+++ b/packages/daemon/src/sidecar/version_guard.ts
@@ -1,7 +1,7 @@
 /**
- * A sidecar's part in moves: it keeps their records for entries that come
- * while the key-value service is down, and holds its own version back on the
- * first evidence that it is bad.
+ * The sidecar's part in moves between versions. It keeps their records for
+ * entries that connect while the key-value service is down, and stops its own
+ * version temporarily on the first evidence that the version is bad.
  * @module
  */
 import {
@@ -12,30 +12,30 @@
 import type { StoredMove } from "../moves/stored_move.ts";
 
 /**
- * Milliseconds after which a hold that no record confirmed is released: the
- * driver has seen both versions by then, and if both fail alike the new one
- * is not to blame.
+ * Milliseconds for which the version is stopped unless a record confirms it. By
+ * then the move's driver has evidence from both versions; if both fail alike,
+ * the new one is not the cause.
  */
-const HOLD_DURATION = 10_000;
+const STOP_DURATION = 10_000;
 
-/** Records by move, and the hold on the version beside this sidecar. */
+/** Keeps the record of each move, and whether this sidecar's version is stopped. */
 export class VersionGuard {
   readonly #version: string | undefined;
   readonly #records = new Map<string, StoredMove>();
-  readonly #hold = new VersionFailureDetector();
-  #heldUntil = Number.NEGATIVE_INFINITY;
+  readonly #failureDetector = new VersionFailureDetector();
+  #stoppedUntil = Number.NEGATIVE_INFINITY;
 
   constructor(version: string | undefined) {
     this.#version = version;
   }
 
-  /** The records to tell an entry that has just connected. */
+  /** The records to send to an entry that has just connected. */
   get records(): string[] {
     return [...this.#records.values()].map(encodeStoredMove);
   }
 
-  /** Keeps a record unless a newer one is held. */
-  offerRecord(text: string): void {
+  /** Stores a record, unless it has the same or a newer one. */
+  receiveRecord(text: string): void {
     const stored = decodeStoredMove(text);
     if (!stored) return;
     const { move } = stored.record;
@@ -44,28 +44,31 @@
     this.#records.set(move, stored);
   }
 
-  /** A call ended at the server; `now` on the monotonic, `wall` on the other clock. */
-  ended(
+  /**
+   * Records a call that ended at the server; `now` is monotonic time, `wallTime`
+   * wall-clock time, both in milliseconds.
+   */
+  recordCall(
     call: { route: string; failed: boolean },
     now: number,
-    wall: number,
+    wallTime: number,
   ): void {
-    if (!this.#onTrial(wall)) return;
-    this.#hold.recordCall(call.route, call.failed);
-    if (this.#hold.failingRoute === undefined) return;
-    this.#hold.reset();
-    this.#heldUntil = now + HOLD_DURATION;
+    if (!this.#isMoveRunning(wallTime)) return;
+    this.#failureDetector.recordCall(call.route, call.failed);
+    if (this.#failureDetector.failingRoute === undefined) return;
+    this.#failureDetector.reset();
+    this.#stoppedUntil = now + STOP_DURATION;
   }
 
-  /** Whether the version beside this sidecar takes no new work now. */
-  stopped(now: number): boolean {
-    return now < this.#heldUntil;
+  /** Whether the version at this sidecar accepts no new work at `now`. */
+  isStopped(now: number): boolean {
+    return now < this.#stoppedUntil;
   }
 
-  #onTrial(wall: number): boolean {
+  #isMoveRunning(wallTime: number): boolean {
     return [...this.#records.values()].some(({ record }) =>
       record.to === this.#version &&
-      effectiveOutcome(record, wall) === "running"
+      effectiveOutcome(record, wallTime) === "running"
     );
   }
 }
--- a/packages/daemon/test/sidecar_estimates_test.ts
+++ b/packages/daemon/test/sidecar_estimates_test.ts
@@ -13,14 +13,13 @@
   remaining: 60_000,
 };
 
-t.test("without a goal the caller's deadline holds", (t) => {
+t.test("without a goal for the first token the caller's deadline applies", (t) => {
   t.equal(new SidecarEstimates("model").timeAllowed(reserve), 60_000);
   t.end();
 });
 
-t.test("a first token too late to be good is not waited for", (t) => {
-  // Under overload an engine prefills prompts whose first tokens come after
-  // the caller has turned away: the work is done and nobody gains by it.
+t.test("the allowed time is shorter if the first token would miss its goal", (t) => {
+  // Otherwise an overloaded engine prefills for callers that have given up.
   const estimates = new SidecarEstimates("model");
   const allowed = estimates.timeAllowed({
     ...reserve,
