--- a/packages/daemon/src/common/protocol_server.ts
+++ b/packages/daemon/src/common/protocol_server.ts
@@ -25,7 +25,7 @@
    * Handles a link; resolves once it has ended, to the error that ended it, if
    * any.
    */
-  serveLink: (open: EstablishedLink) => Promise<LinkError | undefined>;
+  serveLink: (established: EstablishedLink) => Promise<LinkError | undefined>;
   metrics: Metrics;
   log: Log;
 };
