--- a/packages/emulator/src/commands/load_command.ts
+++ b/packages/emulator/src/commands/load_command.ts
@@ -6,7 +6,7 @@
 import { runLoad } from "../load/run_load.ts";
 
 const loadCommandSchema = v.object({
-  target: v.string("say where to: --target http://127.0.0.1:<port>"),
+  target: v.string("--target http://127.0.0.1:<port> is required"),
   rate: v.number(),
   seconds: v.number(),
   mix: v.string(),
@@ -21,11 +21,14 @@
   json: v.optional(v.boolean(), false),
 });
 
-/** Sends load to an entry, or to an emulated server itself. */
-export function registerLoad(program: CAC): void {
-  program.command("load", "send requests to loopback and count the answers")
+/** Sends load to an entry, or directly to an emulated backend server. */
+export function registerLoadCommand(program: CAC): void {
+  program.command(
+    "load",
+    "send requests to loopback and summarise the responses",
+  )
     .option("--target <url>", "http://127.0.0.1:<port>")
-    .option("--rate <count>", "requests a second", { default: 20 })
+    .option("--rate <count>", "requests per second", { default: 20 })
     .option("--seconds <count>", "how long to send", { default: 10 })
     .option(
       "--mix <parts>",
@@ -33,15 +36,17 @@
         "lookup",
       { default: "chat=1,stream=1" },
     )
-    .option("--model <name>", "model of chats", { default: "assistant" })
-    .option("--booking-service <name>", "service of bookings", {
+    .option("--model <name>", "model of chat requests", {
+      default: "assistant",
+    })
+    .option("--booking-service <name>", "service of booking requests", {
       default: "bookings",
     })
     .option("--prompt-tokens <count>", "length of prompts", { default: 200 })
-    .option("--output-tokens <count>", "length of answers", { default: 32 })
-    .option("--deadline <ms>", "deadline that each request states")
+    .option("--output-tokens <count>", "length of responses", { default: 32 })
+    .option("--deadline <ms>", "deadline of each request")
     .option("--token <token>", "bearer token")
-    .option("--direct", "the target is an emulated server itself")
+    .option("--direct", "the target is an emulated backend server")
     .option("--seed <number>", "seed of the arrivals", { default: 1 })
     .option("--json", "print JSON")
     .example("node dist/main.js load --target http://127.0.0.1:8080 --rate 50")
--- a/packages/emulator/src/commands/plain_command.ts
+++ b/packages/emulator/src/commands/plain_command.ts
@@ -2,29 +2,29 @@
 import type { CAC } from "cac";
 import type { PlainSettingsInput } from "../plain/plain_settings.ts";
 import { startPlainService } from "../plain/start_plain_service.ts";
-import { named } from "./engine_command.ts";
-import { crash, serve } from "./serve.ts";
+import { withNameAsText } from "./engine_command.ts";
+import { exitAsCrashed, runUntilSignal } from "./run_until_signal.ts";
 
-/** Options carry the names of the plain service's settings. */
-export function registerPlain(program: CAC): void {
+/** Each option has the name of the setting that it sets. */
+export function registerPlainCommand(program: CAC): void {
   program.command("plain", "a booking service with non-idempotent calls")
     .option("--host <host>", "address to listen on", { default: "127.0.0.1" })
     .option("--port <port>", "port to listen on, 0 for a free one", {
       default: 0,
     })
-    .option("--name <name>", "name given in answers and in the history")
-    .option("--call-time <ms>", "time that one call takes")
-    .option("--max-calls <count>", "calls that run at once")
-    .option("--seed <number>", "seed of the drawn errors")
+    .option("--name <name>", "name given in responses and in the history")
+    .option("--call-time <ms>", "duration of one call")
+    .option("--max-calls <count>", "maximum number of concurrent calls")
+    .option("--seed <number>", "seed of the random errors")
     .example("node dist/main.js plain --port 7201 --call-time 20")
     .action(async (options: Record<string, unknown>) => {
       const { host, port, "--": _rest, ...settings } = options;
-      serve(
+      runUntilSignal(
         await startPlainService({
           host: String(host),
           port: Number(port),
-          settings: named(settings) as PlainSettingsInput,
-          onCrash: crash,
+          settings: withNameAsText(settings) as PlainSettingsInput,
+          onCrash: exitAsCrashed,
         }),
       );
     });
--- a/packages/emulator/src/commands/platform_commands.ts
+++ b/packages/emulator/src/commands/platform_commands.ts
@@ -1,26 +1,26 @@
 /** The `key-value-store` and `instance-list` commands. @module */
 import type { CAC } from "cac";
 import { startInstanceList, startKeyValueStore } from "../platform/mod.ts";
-import type { StartedServer, StartOptions } from "../platform/mod.ts";
-import { serve } from "./serve.ts";
+import type { StartedService, StartOptions } from "../platform/mod.ts";
+import { runUntilSignal } from "./run_until_signal.ts";
 
-type Start = (options: StartOptions) => Promise<StartedServer>;
+type StartService = (options: StartOptions) => Promise<StartedService>;
 
-/** Both listen only; their faults are set over HTTP. */
-export function registerPlatform(program: CAC): void {
-  register(program, startKeyValueStore, {
+/** The options only set the address; faults are set over HTTP. */
+export function registerPlatformCommands(program: CAC): void {
+  registerCommand(program, startKeyValueStore, {
     name: "key-value-store",
     description: "the platform's key-value service",
   });
-  register(program, startInstanceList, {
+  registerCommand(program, startInstanceList, {
     name: "instance-list",
     description: "the platform's instance list",
   });
 }
 
-function register(
+function registerCommand(
   program: CAC,
-  start: Start,
+  start: StartService,
   { name, description }: { name: string; description: string },
 ): void {
   program.command(name, description)
@@ -29,6 +29,6 @@
       default: 0,
     })
     .action(async ({ host, port }: Record<string, unknown>) => {
-      serve(await start({ host: String(host), port: Number(port) }));
+      runUntilSignal(await start({ host: String(host), port: Number(port) }));
     });
 }
--- a/packages/emulator/src/engine/batch.ts
+++ b/packages/emulator/src/engine/batch.ts
@@ -1,17 +1,17 @@
 /**
- * Continuous batching: sequences join and leave between steps, a step takes
- * longer the more of them decode, and prefill work delays the step it is in.
- * Knows no clock; the caller waits out each step's duration.
+ * Continuous batching: sequences join and leave the batch between steps. A step
+ * takes longer the more sequences decode and the more tokens are prefilled in
+ * it. The batch reads no clock; the caller waits for the duration of each step.
  * @module
  */
 import type { EngineSettings } from "./engine_settings.ts";
 import type { Sequence } from "./sequence.ts";
 
-/** What one step does. */
+/** Result of one step. */
 export type Step = {
-  /** Milliseconds. */
+  /** Duration in milliseconds. */
   duration: number;
-  /** Sequences that get a token at the end of the step. */
+  /** Sequences that generate a token at the end of the step. */
   decoded: Sequence[];
 };
 
@@ -25,7 +25,7 @@
   | "prefillTokensPerStep"
 >;
 
-/** Admits sequences as they come; knows no priorities. */
+/** Admits sequences in order of arrival, without priorities. */
 export class Batch {
   readonly #settings: BatchSettings;
   readonly #waiting: Sequence[] = [];
@@ -51,7 +51,7 @@
     this.#waiting.push(sequence);
   }
 
-  /** Takes a sequence out, finished or not. */
+  /** Removes a sequence, whether it is running, waiting or finished. */
   remove(sequence: Sequence): void {
     this.#running.delete(sequence);
     const index = this.#waiting.indexOf(sequence);
@@ -60,9 +60,9 @@
     }
   }
 
-  /** Plans the next step. */
+  /** Carries out the next step; its duration is multiplied by `slowFactor`. */
   step(slowFactor: number): Step {
-    this.#admit();
+    this.#admitWaiting();
     const prefilled = this.#prefill();
     const decoded = this.#decode();
     const { stepTime, sequenceTime, prefillTime, speed } = this.#settings;
@@ -71,7 +71,7 @@
     return { duration: work * slowFactor / speed, decoded };
   }
 
-  #admit(): void {
+  #admitWaiting(): void {
     while (this.#running.size < this.#settings.maxSequences) {
       const next = this.#waiting.shift();
       if (next === undefined) {
@@ -84,8 +84,8 @@
   #prefill(): number {
     let budget = this.#settings.prefillTokensPerStep;
     for (const sequence of this.#running) {
-      const tokens = Math.min(budget, sequence.prefillLeft);
-      sequence.prefillLeft -= tokens;
+      const tokens = Math.min(budget, sequence.remainingPrefillTokens);
+      sequence.remainingPrefillTokens -= tokens;
       budget -= tokens;
     }
     return this.#settings.prefillTokensPerStep - budget;
@@ -94,12 +94,12 @@
   #decode(): Sequence[] {
     const decoded: Sequence[] = [];
     for (const sequence of this.#running) {
-      if (sequence.prefillLeft > 0) {
+      if (sequence.remainingPrefillTokens > 0) {
         continue;
       }
-      sequence.outputLeft -= 1;
+      sequence.remainingOutputTokens -= 1;
       decoded.push(sequence);
-      if (sequence.outputLeft <= 0) {
+      if (sequence.remainingOutputTokens <= 0) {
         this.#running.delete(sequence);
       }
     }
--- a/packages/emulator/src/engine/batch_loop.ts
+++ b/packages/emulator/src/engine/batch_loop.ts
@@ -1,19 +1,20 @@
-/** Runs a batch against the clock. @module */
+/** Runs the steps of a batch in real time. @module */
 import { setImmediate } from "node:timers";
 import type { Batch } from "./batch.ts";
 import type { Sequence } from "./sequence.ts";
 
 /**
- * Steps while there is work. Timers fire late by up to some milliseconds, so
- * each step is due at the planned end of the one before it, not at its real
- * end: the engine keeps its speed however coarse the timers are.
+ * Runs steps while the batch has work. Timers fire up to some milliseconds
+ * late, so each step starts at the planned end of the previous one instead of
+ * its actual end. This keeps the engine's speed independent of the timers'
+ * precision.
  */
 export class BatchLoop {
   readonly #batch: Batch;
   readonly #slowFactor: () => number;
   #running = false;
   #stopped = false;
-  #due = 0;
+  #stepEndsAt = 0;
 
   constructor(batch: Batch, slowFactor: () => number) {
     this.#batch = batch;
@@ -24,8 +25,8 @@
     this.#batch.add(sequence);
     if (!this.#running && !this.#stopped) {
       this.#running = true;
-      this.#due = performance.now();
-      this.#plan();
+      this.#stepEndsAt = performance.now();
+      this.#scheduleStep();
     }
   }
 
@@ -33,16 +34,16 @@
     this.#batch.remove(sequence);
   }
 
-  /** No token is generated from now on. */
+  /** Ends the loop; no more tokens are generated. */
   stop(): void {
     this.#stopped = true;
   }
 
-  #plan(): void {
+  #scheduleStep(): void {
     const step = this.#batch.step(this.#slowFactor());
-    this.#due += step.duration;
-    const wait = this.#due - performance.now();
-    const finish = () => this.#finish(step.decoded);
+    this.#stepEndsAt += step.duration;
+    const wait = this.#stepEndsAt - performance.now();
+    const finish = () => this.#completeStep(step.decoded);
     if (wait < 1) {
       setImmediate(finish);
       return;
@@ -50,7 +51,7 @@
     setTimeout(finish, wait);
   }
 
-  #finish(decoded: Sequence[]): void {
+  #completeStep(decoded: Sequence[]): void {
     if (this.#stopped) {
       return;
     }
@@ -61,6 +62,6 @@
       this.#running = false;
       return;
     }
-    this.#plan();
+    this.#scheduleStep();
   }
 }
--- a/packages/emulator/src/engine/chat_completion.ts
+++ b/packages/emulator/src/engine/chat_completion.ts
@@ -1,10 +1,13 @@
-/** The chat completions interface as far as the emulator speaks it. @module */
+/**
+ * The subset of the chat completions API that the emulator supports.
+ * @module
+ */
 import * as v from "valibot";
 
 const DEFAULT_OUTPUT_TOKENS = 16;
 const count = v.pipe(v.number(), v.safeInteger(), v.minValue(1));
 
-/** Body of `POST /v1/chat/completions`; further members are ignored. */
+/** Body of `POST /v1/chat/completions`; unknown members are ignored. */
 export const chatCompletionRequestSchema = v.object({
   model: v.string(),
   messages: v.array(
@@ -17,29 +20,28 @@
     v.object({ include_usage: v.optional(v.boolean(), false) }),
   ),
 });
-/** See {@link chatCompletionRequestSchema}. */
 export type ChatCompletionRequest = v.InferOutput<
   typeof chatCompletionRequestSchema
 >;
 
-/** The prompt as one text. */
-export function promptOf(request: ChatCompletionRequest): string {
+/** Joins all messages into one prompt text. */
+export function formatPrompt(request: ChatCompletionRequest): string {
   return request.messages
-    .map(({ role, content }) => `${role}: ${contentText(content)}\n`)
+    .map(({ role, content }) => `${role}: ${contentToText(content)}\n`)
     .join("");
 }
 
-function contentText(content: unknown): string {
+function contentToText(content: unknown): string {
   return typeof content === "string" ? content : JSON.stringify(content ?? "");
 }
 
-/** Tokens to generate. */
-export function outputTokensOf(request: ChatCompletionRequest): number {
+/** Number of tokens to generate for the request. */
+export function requestedOutputTokens(request: ChatCompletionRequest): number {
   return request.max_completion_tokens ?? request.max_tokens ??
     DEFAULT_OUTPUT_TOKENS;
 }
 
-/** Token counts of one answer. */
+/** Token counts of one completion. */
 export type Usage = {
   prompt_tokens: number;
   completion_tokens: number;
@@ -47,8 +49,8 @@
   prompt_tokens_details: { cached_tokens: number };
 };
 
-/** The counts in the form of the interface. */
-export function usageOf(
+/** Converts token counts to the format of the API. */
+export function createUsage(
   { promptTokens, cachedTokens, outputTokens }: {
     promptTokens: number;
     cachedTokens: number;
--- a/packages/emulator/src/engine/engine.ts
+++ b/packages/emulator/src/engine/engine.ts
@@ -1,97 +1,104 @@
-/** An emulated model engine behind HTTP. @module */
+/** Emulated model engine: the handler of its HTTP requests. @module */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import * as v from "valibot";
 import { findMarker } from "../markers/marked_text.ts";
-import { FaultSwitch } from "../faults/fault_switch.ts";
-import { failRecord, followAnswer, History } from "../history/history.ts";
+import { FaultInjector } from "../faults/fault_injector.ts";
+import {
+  History,
+  recordFailure,
+  recordOutcomeOnClose,
+} from "../history/history.ts";
 import type { HistoryRecord } from "../history/history_record.ts";
-import { parseJson, readText, sendJson } from "../server/http_messages.ts";
-import { StreamedAnswerWriter, WholeAnswerWriter } from "./answer_writer.ts";
-import type { AnswerFacts, AnswerWriter } from "./answer_writer.ts";
+import { parseJson, readBody, sendJson } from "../server/http_messages.ts";
+import {
+  EventStreamResponseWriter,
+  JsonResponseWriter,
+} from "./response_writer.ts";
+import type { CompletionMetadata, ResponseWriter } from "./response_writer.ts";
 import { Batch } from "./batch.ts";
 import { BatchLoop } from "./batch_loop.ts";
 import {
   chatCompletionRequestSchema,
-  outputTokensOf,
-  promptOf,
-  usageOf,
+  createUsage,
+  formatPrompt,
+  requestedOutputTokens,
 } from "./chat_completion.ts";
 import type { ChatCompletionRequest } from "./chat_completion.ts";
 import type { EngineSettings } from "./engine_settings.ts";
-import { LaggingLoadReport } from "./load_report.ts";
-import { PrefixCache, tokensOf } from "./prefix_cache.ts";
+import { CachedLoadReport } from "./load_report.ts";
+import { countTokens, PrefixCache } from "./prefix_cache.ts";
 import type { Sequence } from "./sequence.ts";
 
 const COMPLETIONS_ROUTE = "POST /v1/chat/completions";
 
-/** Takes requests as they come and generates marked tokens. */
+/** Serves chat completions in order of arrival and generates marked tokens. */
 export class Engine {
   readonly history: History;
-  readonly faultSwitch: FaultSwitch;
+  readonly faultInjector: FaultInjector;
   readonly #settings: EngineSettings;
   readonly #cache: PrefixCache;
   readonly #loop: BatchLoop;
-  readonly #load: LaggingLoadReport;
-  readonly #crash: () => void;
+  readonly #loadReport: CachedLoadReport;
+  readonly #onCrash: () => void;
 
-  constructor(settings: EngineSettings, crash: () => void) {
+  constructor(settings: EngineSettings, onCrash: () => void) {
     this.#settings = settings;
-    this.#crash = crash;
+    this.#onCrash = onCrash;
     this.history = new History(settings.name);
-    this.faultSwitch = new FaultSwitch(settings.seed);
+    this.faultInjector = new FaultInjector(settings.seed);
     this.#cache = new PrefixCache(settings.cacheTokens);
     const batch = new Batch(settings);
     this.#loop = new BatchLoop(
       batch,
-      () => this.faultSwitch.faults.slowFactor,
+      () => this.faultInjector.faults.slowFactor,
     );
-    this.#load = new LaggingLoadReport(settings.reportLag, () => ({
+    this.#loadReport = new CachedLoadReport(settings.reportLag, () => ({
       running: batch.running,
       waiting: batch.waiting,
       cachedTokens: this.#cache.cachedTokens,
     }));
   }
 
-  /** Generates nothing more. */
+  /** Stops generating; open responses get no more tokens. */
   stop(): void {
     this.#loop.stop();
   }
 
-  /** Answers every request that is no control request. */
-  async answer(
+  /** Handles every request other than those to the control routes. */
+  async handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
     const route = `${request.method} ${request.url}`;
     if (route === COMPLETIONS_ROUTE) {
-      await this.#complete(request, response);
+      await this.#handleCompletion(request, response);
       return;
     }
     if (route === "GET /health") {
-      this.#answerHealth(response);
+      this.#sendHealth(response);
       return;
     }
     if (route === "GET /load") {
-      sendJson(response, 200, this.#load.read(Date.now()));
+      sendJson(response, 200, this.#loadReport.read(Date.now()));
       return;
     }
     sendJson(response, 404, { error: { message: `no route ${route}` } });
   }
 
-  #answerHealth(response: ServerResponse): void {
-    const { healthy } = this.faultSwitch.faults;
+  #sendHealth(response: ServerResponse): void {
+    const { healthy } = this.faultInjector.faults;
     sendJson(response, healthy ? 200 : 503, {
       status: healthy ? "ok" : "unhealthy",
     });
   }
 
-  async #complete(
+  async #handleCompletion(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
     const parsed = v.safeParse(
       chatCompletionRequestSchema,
-      parseJson(await readText(request)),
+      parseJson(await readBody(request)),
     );
     if (!parsed.success) {
       const message = v.summarize(parsed.issues);
@@ -99,31 +106,32 @@
       sendJson(response, 400, { error: { message, type } });
       return;
     }
-    const prompt = promptOf(parsed.output);
-    const promptTokens = tokensOf(prompt);
-    const cachedTokens = this.#cache.use(prompt);
+    const prompt = formatPrompt(parsed.output);
+    const promptTokens = countTokens(prompt);
+    const cachedTokens = this.#cache.lookUpAndInsert(prompt);
     const marker = findMarker(prompt);
-    const facts = { marker, promptTokens, cachedTokens };
-    const record = this.history.start(request, facts, Date.now());
-    followAnswer(record, response);
-    if (!this.#failsEarly(record, response)) {
+    const details = { marker, promptTokens, cachedTokens };
+    const record = this.history.recordStart(request, details, Date.now());
+    recordOutcomeOnClose(record, response);
+    if (!this.#injectFault(record, response)) {
       this.#generate(parsed.output, response, record);
     }
   }
 
-  #failsEarly(record: HistoryRecord, response: ServerResponse): boolean {
-    if (this.faultSwitch.crashes(record.marker)) {
-      failRecord(record, Date.now());
-      this.#crash();
+  /** Returns true if the request must not be processed any further. */
+  #injectFault(record: HistoryRecord, response: ServerResponse): boolean {
+    if (this.faultInjector.shouldCrash(record.marker)) {
+      recordFailure(record, Date.now());
+      this.#onCrash();
       return true;
     }
-    const status = this.faultSwitch.errorStatus(COMPLETIONS_ROUTE);
+    const status = this.faultInjector.drawErrorStatus(COMPLETIONS_ROUTE);
     if (status !== undefined) {
-      failRecord(record, Date.now());
+      recordFailure(record, Date.now());
       sendJson(response, status, { error: { message: "emulated failure" } });
       return true;
     }
-    return this.faultSwitch.faults.hang;
+    return this.faultInjector.faults.hang;
   }
 
   #generate(
@@ -131,44 +139,44 @@
     response: ServerResponse,
     record: HistoryRecord,
   ): void {
-    const outputTokens = outputTokensOf(request);
+    const outputTokens = requestedOutputTokens(request);
     const promptTokens = record.promptTokens ?? 0;
     const cachedTokens = record.cachedTokens ?? 0;
-    const writer = this.#writer(request, response, {
+    const writer = this.#createWriter(request, response, {
       id: `${this.#settings.name}-${record.number}`,
       model: request.model,
       server: this.#settings.name,
       marker: record.marker,
       outputTokens,
-      usage: usageOf({ promptTokens, cachedTokens, outputTokens }),
+      usage: createUsage({ promptTokens, cachedTokens, outputTokens }),
     });
     const sequence: Sequence = {
-      prefillLeft: promptTokens - cachedTokens,
-      outputLeft: outputTokens,
+      remainingPrefillTokens: promptTokens - cachedTokens,
+      remainingOutputTokens: outputTokens,
       onToken: () => {
-        const index = outputTokens - sequence.outputLeft;
-        this.#token({ writer, record, sequence, index });
+        const index = outputTokens - sequence.remainingOutputTokens;
+        this.#emitToken({ writer, record, sequence, index });
       },
     };
     response.once("close", () => this.#loop.remove(sequence));
     this.#loop.add(sequence);
   }
 
-  #writer(
+  #createWriter(
     request: ChatCompletionRequest,
     response: ServerResponse,
-    facts: AnswerFacts,
-  ): AnswerWriter {
+    metadata: CompletionMetadata,
+  ): ResponseWriter {
     if (!request.stream) {
-      return new WholeAnswerWriter(response, facts);
+      return new JsonResponseWriter(response, metadata);
     }
     const includeUsage = request.stream_options?.include_usage ?? false;
-    return new StreamedAnswerWriter(response, facts, includeUsage);
+    return new EventStreamResponseWriter(response, metadata, includeUsage);
   }
 
-  #token(
+  #emitToken(
     { writer, record, sequence, index }: {
-      writer: AnswerWriter;
+      writer: ResponseWriter;
       record: HistoryRecord;
       sequence: Sequence;
       index: number;
@@ -177,20 +185,20 @@
     if (record.outcome !== "running") {
       return;
     }
-    const { cutAfterTokens } = this.faultSwitch.faults;
+    const { cutAfterTokens } = this.faultInjector.faults;
     if (cutAfterTokens !== undefined && index > cutAfterTokens) {
-      failRecord(record, Date.now());
+      recordFailure(record, Date.now());
       this.#loop.remove(sequence);
-      writer.cut();
+      writer.abort();
       return;
     }
-    writer.token(index);
-    if (index > 1 && this.faultSwitch.crashesMidAnswer(record.marker)) {
-      failRecord(record, Date.now());
-      this.#crash();
+    writer.writeToken(index);
+    if (index > 1 && this.faultInjector.shouldCrashMidResponse(record.marker)) {
+      recordFailure(record, Date.now());
+      this.#onCrash();
       return;
     }
-    if (sequence.outputLeft <= 0) {
+    if (sequence.remainingOutputTokens <= 0) {
       writer.finish();
     }
   }
--- a/packages/emulator/src/engine/load_report.ts
+++ b/packages/emulator/src/engine/load_report.ts
@@ -1,6 +1,6 @@
-/** The load that an engine reports, with a lag. @module */
+/** The load that an engine reports, out of date by up to a set age. @module */
 
-/** What `GET /load` answers. */
+/** Response body of `GET /load`. */
 export type LoadReport = {
   running: number;
   waiting: number;
@@ -9,19 +9,24 @@
   measuredAt: number;
 };
 
-/** Measures anew only when the last report is older than the lag. */
-export class LaggingLoadReport {
-  readonly #lag: number;
+/**
+ * Takes a new measurement only when the last one has reached `maxAge`
+ * milliseconds.
+ */
+export class CachedLoadReport {
+  readonly #maxAge: number;
   readonly #measure: () => Omit<LoadReport, "measuredAt">;
   #last: LoadReport | undefined;
 
-  constructor(lag: number, measure: () => Omit<LoadReport, "measuredAt">) {
-    this.#lag = lag;
+  constructor(maxAge: number, measure: () => Omit<LoadReport, "measuredAt">) {
+    this.#maxAge = maxAge;
     this.#measure = measure;
   }
 
   read(now: number): LoadReport {
-    if (this.#last === undefined || now - this.#last.measuredAt >= this.#lag) {
+    if (
+      this.#last === undefined || now - this.#last.measuredAt >= this.#maxAge
+    ) {
       this.#last = { ...this.#measure(), measuredAt: now };
     }
     return this.#last;
--- a/packages/emulator/src/engine/prefix_cache.ts
+++ b/packages/emulator/src/engine/prefix_cache.ts
@@ -1,48 +1,55 @@
-/** A prefix cache of limited size, as engines keep of prompts. @module */
+/** Prefix cache for prompts with a limited size and LRU eviction. @module */
 import { createHash } from "node:crypto";
 
-/** Tokens of one cached block. */
+/** Number of tokens in one cached block. */
 export const BLOCK_TOKENS = 16;
-/** Characters that count as one token. */
+/** The emulated tokenizer counts this many characters as one token. */
 export const CHARACTERS_PER_TOKEN = 4;
 
 const BLOCK_CHARACTERS = BLOCK_TOKENS * CHARACTERS_PER_TOKEN;
 
-/** Tokens of a text, rounded up. */
-export function tokensOf(text: string): number {
+/** Number of tokens in `text`, rounded up. */
+export function countTokens(text: string): number {
   return Math.ceil(text.length / CHARACTERS_PER_TOKEN);
 }
 
-/** Keeps the most recently used blocks; a block stands for all before it too. */
+/**
+ * Keeps the most recently used blocks. The key of a block covers the whole
+ * prompt up to the end of the block.
+ */
 export class PrefixCache {
   readonly #blocks = new Set<string>();
-  readonly #capacity: number;
+  readonly #maxBlocks: number;
 
   constructor(capacityTokens: number) {
-    this.#capacity = Math.floor(capacityTokens / BLOCK_TOKENS);
+    this.#maxBlocks = Math.floor(capacityTokens / BLOCK_TOKENS);
   }
 
   get cachedTokens(): number {
     return this.#blocks.size * BLOCK_TOKENS;
   }
 
-  /** Tokens of the prompt found in the cache; the prompt is cached then. */
-  use(prompt: string): number {
+  /**
+   * Returns how many tokens of the prompt were cached, then caches all its
+   * blocks.
+   */
+  lookUpAndInsert(prompt: string): number {
     const keys = blockKeys(prompt);
-    const missing = keys.findIndex((key) => !this.#blocks.has(key));
-    const found = missing < 0 ? keys.length : missing;
-    this.#touch(keys);
-    return found * BLOCK_TOKENS;
+    const firstMissing = keys.findIndex((key) => !this.#blocks.has(key));
+    const cachedBlocks = firstMissing < 0 ? keys.length : firstMissing;
+    this.#markUsed(keys);
+    return cachedBlocks * BLOCK_TOKENS;
   }
 
-  #touch(keys: string[]): void {
-    // The last block first, so that prefixes outlive what follows on them.
+  #markUsed(keys: string[]): void {
+    // Marks the last block first, so that a prefix is evicted after the blocks
+    // that follow it.
     for (const key of keys.reverse()) {
       this.#blocks.delete(key);
       this.#blocks.add(key);
     }
     for (const oldest of this.#blocks) {
-      if (this.#blocks.size <= this.#capacity) {
+      if (this.#blocks.size <= this.#maxBlocks) {
         return;
       }
       this.#blocks.delete(oldest);
@@ -51,12 +58,12 @@
 }
 
 function blockKeys(prompt: string): string[] {
-  const hash = createHash("sha1");
+  const prefixHash = createHash("sha1");
   const keys: string[] = [];
   const end = prompt.length - BLOCK_CHARACTERS;
   for (let start = 0; start <= end; start += BLOCK_CHARACTERS) {
-    hash.update(prompt.slice(start, start + BLOCK_CHARACTERS));
-    keys.push(hash.copy().digest("base64"));
+    prefixHash.update(prompt.slice(start, start + BLOCK_CHARACTERS));
+    keys.push(prefixHash.copy().digest("base64"));
   }
   return keys;
 }
--- a/packages/emulator/src/engine/sequence.ts
+++ b/packages/emulator/src/engine/sequence.ts
@@ -1,11 +1,9 @@
-/** One request inside an emulated engine. @module */
+/** A request as the emulated engine's batch processes it. @module */
 
-/** Its state changes only in steps of the batch. */
+/** Token counts of one request; only a step of the batch changes them. */
 export type Sequence = {
-  /** Prompt tokens still to prefill. */
-  prefillLeft: number;
-  /** Tokens still to generate. */
-  outputLeft: number;
+  remainingPrefillTokens: number;
+  remainingOutputTokens: number;
   /** Called once for each generated token, in order. */
   onToken: () => void;
 };
--- a/packages/emulator/src/faults/control_routes.ts
+++ b/packages/emulator/src/faults/control_routes.ts
@@ -1,16 +1,23 @@
-/** `GET /history`, `GET /faults` and `PUT /faults` of every emulated server. @module */
+/**
+ * The control routes of every emulated backend server: `GET /history`,
+ * `GET /faults` and `PUT /faults`.
+ * @module
+ */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import * as v from "valibot";
 import type { History } from "../history/history.ts";
-import { parseJson, readText, sendJson } from "../server/http_messages.ts";
-import type { FaultSwitch } from "./fault_switch.ts";
+import { parseJson, readBody, sendJson } from "../server/http_messages.ts";
+import type { FaultInjector } from "./fault_injector.ts";
 import { faultsSchema } from "./faults.ts";
 
-/** Answers a control request; `false` when it is none. */
-export async function answerControl(
+/** Responds to a control request; returns false if the request is not one. */
+export async function handleControlRequest(
   request: IncomingMessage,
   response: ServerResponse,
-  { history, faultSwitch }: { history: History; faultSwitch: FaultSwitch },
+  { history, faultInjector }: {
+    history: History;
+    faultInjector: FaultInjector;
+  },
 ): Promise<boolean> {
   const route = `${request.method} ${request.url}`;
   if (route === "GET /history") {
@@ -18,11 +25,11 @@
     return true;
   }
   if (route === "GET /faults") {
-    sendJson(response, 200, faultSwitch.faults);
+    sendJson(response, 200, faultInjector.faults);
     return true;
   }
   if (route === "PUT /faults") {
-    await setFaults(request, response, faultSwitch);
+    await setFaults(request, response, faultInjector);
     return true;
   }
   return false;
@@ -31,13 +38,13 @@
 async function setFaults(
   request: IncomingMessage,
   response: ServerResponse,
-  faultSwitch: FaultSwitch,
+  faultInjector: FaultInjector,
 ): Promise<void> {
-  const parsed = v.safeParse(faultsSchema, parseJson(await readText(request)));
+  const parsed = v.safeParse(faultsSchema, parseJson(await readBody(request)));
   if (!parsed.success) {
     sendJson(response, 400, { error: { message: v.summarize(parsed.issues) } });
     return;
   }
-  faultSwitch.set(parsed.output);
-  sendJson(response, 200, faultSwitch.faults);
+  faultInjector.setFaults(parsed.output);
+  sendJson(response, 200, faultInjector.faults);
 }
--- /dev/null
+++ b/packages/emulator/src/faults/fault_injector.ts
@@ -0,0 +1,47 @@
+/** The active faults of one emulated backend server. @module */
+import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
+import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
+import * as v from "valibot";
+import { faultsSchema } from "./faults.ts";
+import type { Faults, FaultsInput } from "./faults.ts";
+
+/** Holds the active faults and draws errors with a seeded random generator. */
+export class FaultInjector {
+  #faults: Faults = v.parse(faultsSchema, {});
+  readonly #random;
+
+  constructor(seed: number) {
+    this.#random = xoroshiro128plus(seed);
+  }
+
+  get faults(): Faults {
+    return this.#faults;
+  }
+
+  /** Replaces all faults. Throws if they do not match the schema. */
+  setFaults(faults: FaultsInput): void {
+    this.#faults = v.parse(faultsSchema, faults);
+  }
+
+  /** Draws whether this request fails; returns the error status if so. */
+  drawErrorStatus(route: string): number | undefined {
+    const errorRate = this.#faults.errorRates.find((rate) =>
+      rate.route === route
+    );
+    if (
+      errorRate === undefined || uniformFloat64(this.#random) >= errorRate.rate
+    ) {
+      return undefined;
+    }
+    return errorRate.status;
+  }
+
+  shouldCrash(marker: string | undefined): boolean {
+    return marker !== undefined && this.#faults.crashMarkers.includes(marker);
+  }
+
+  shouldCrashMidResponse(marker: string | undefined): boolean {
+    return marker !== undefined &&
+      this.#faults.crashMidAnswerMarkers.includes(marker);
+  }
+}
--- a/packages/emulator/src/faults/faults.ts
+++ b/packages/emulator/src/faults/faults.ts
@@ -1,39 +1,41 @@
-/** The faults that can be switched on in an emulated server. @module */
+/** Faults that can be switched on in an emulated backend server. @module */
 import * as v from "valibot";
 
-/** Share of a route's requests that are answered with `status`. */
+/** Fraction of a route's requests that get an error response with `status`. */
 export const errorRateSchema = v.strictObject({
-  /** As in "POST /bookings". */
+  /** Method and path, such as "POST /bookings". */
   route: v.string(),
   rate: v.pipe(v.number(), v.minValue(0), v.maxValue(1)),
   status: v.optional(v.number(), 500),
 });
 
-/** A limit that every answer states. */
+/** A rate limit that every response states in a header. */
 export const statedLimitSchema = v.strictObject({
   header: v.optional(v.string(), "x-server-limit"),
-  /** Requests a second from all callers; a text is sent as it is. */
+  /** Requests per second from all callers; a string is sent unchanged. */
   perSecond: v.union([v.pipe(v.number(), v.minValue(0)), v.string()]),
 });
 
-/** The whole set of switches; an absent one is off. */
+/** All faults; those left out are off. */
 export const faultsSchema = v.strictObject({
-  /** Steps take this many times longer. */
+  /** Factor by which steps and calls take longer. */
   slowFactor: v.optional(v.pipe(v.number(), v.minValue(0.01)), 1),
   errorRates: v.optional(v.array(errorRateSchema), []),
-  /** A request with one of these markers crashes the server. */
+  /** Requests with these markers crash the server as soon as they arrive. */
   crashMarkers: v.optional(v.array(v.string()), []),
-  /** A request with one of these markers crashes it in the midst of answering. */
+  /** Requests with these markers crash the server while it responds. */
   crashMidAnswerMarkers: v.optional(v.array(v.string()), []),
-  /** Requests are taken and never answered. */
+  /** Requests are accepted, but never get a response. */
   hang: v.optional(v.boolean(), false),
-  /** Drops the connection after this many tokens, or half of a whole answer. */
+  /**
+   * Closes the connection after this many tokens of a stream; a response that
+   * is not streamed is cut after half of its body.
+   */
   cutAfterTokens: v.optional(v.number()),
   statedLimit: v.optional(statedLimitSchema),
-  /** What the health check says. */
+  /** Result of the health check. */
   healthy: v.optional(v.boolean(), true),
 });
-/** See {@link faultsSchema}. */
 export type Faults = v.InferOutput<typeof faultsSchema>;
-/** What `PUT /faults` takes. */
+/** Body of `PUT /faults`, before defaults are filled in. */
 export type FaultsInput = v.InferInput<typeof faultsSchema>;
--- a/packages/emulator/src/history/history.ts
+++ b/packages/emulator/src/history/history.ts
@@ -1,14 +1,14 @@
-/** The list of requests that a backend server started and ended. @module */
+/** The requests that an emulated backend server has received. @module */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { HistoryRecord } from "./history_record.ts";
 
-/** What is known of a request besides its method, path and headers. */
-export type RequestFacts = Pick<
+/** Details of a request that are not in its method, path and headers. */
+export type RequestDetails = Pick<
   HistoryRecord,
   "marker" | "promptTokens" | "cachedTokens"
 >;
 
-/** Records every request once, in the order of starting. */
+/** Holds one record for each request, in the order in which they started. */
 export class History {
   readonly #server: string;
   readonly #records: HistoryRecord[] = [];
@@ -17,10 +17,10 @@
     this.#server = server;
   }
 
-  /** A request starts to run; its record changes as it ends. */
-  start(
+  /** Adds the record of a request that starts; updated when the request ends. */
+  recordStart(
     request: IncomingMessage,
-    facts: RequestFacts,
+    details: RequestDetails,
     now: number,
   ): HistoryRecord {
     const key = request.headers["idempotency-key"];
@@ -31,7 +31,7 @@
       path: request.url ?? "/",
       startedAt: now,
       outcome: "running",
-      ...facts,
+      ...details,
     };
     if (typeof key === "string") {
       record.idempotencyKey = key;
@@ -45,8 +45,11 @@
   }
 }
 
-/** Sets the outcome when the answer's connection is done with. */
-export function followAnswer(
+/**
+ * Sets the outcome once the response has been sent or its connection has
+ * closed.
+ */
+export function recordOutcomeOnClose(
   record: HistoryRecord,
   response: ServerResponse,
 ): void {
@@ -59,8 +62,8 @@
   });
 }
 
-/** The server itself ends the request without its whole answer. */
-export function failRecord(record: HistoryRecord, now: number): void {
+/** Records that the server ended the request without a complete response. */
+export function recordFailure(record: HistoryRecord, now: number): void {
   record.outcome = "failed";
   record.endedAt = now;
 }
--- a/packages/emulator/src/history/history_record.ts
+++ b/packages/emulator/src/history/history_record.ts
@@ -1,9 +1,10 @@
-/** What a backend server remembers of one request. @module */
+/** Record of one request at an emulated backend server. @module */
 import * as v from "valibot";
 
 /**
- * One request as the server saw it. Instants are milliseconds of the server's
- * clock. `cancelled` means that the caller's side closed the connection first.
+ * One request as seen by the server. Times are milliseconds since the epoch by
+ * the server's clock. `cancelled` means that the peer closed the connection
+ * before the response was complete.
  */
 export const historyRecordSchema = v.object({
   server: v.string(),
@@ -16,8 +17,7 @@
   endedAt: v.optional(v.number()),
   outcome: v.picklist(["running", "finished", "failed", "cancelled"]),
   promptTokens: v.optional(v.number()),
-  /** Prompt tokens that the prefix cache saved. */
+  /** Prompt tokens that were found in the prefix cache and not prefilled. */
   cachedTokens: v.optional(v.number()),
 });
-/** See {@link historyRecordSchema}. */
 export type HistoryRecord = v.InferOutput<typeof historyRecordSchema>;
--- a/packages/emulator/src/load/format_load_summaries.ts
+++ b/packages/emulator/src/load/format_load_summaries.ts
@@ -1,15 +1,15 @@
-/** The results of a load as a table. @module */
+/** Formats the results of a load as a table. @module */
 import type { LoadSummary, Percentiles } from "./load_results.ts";
 
-/** A table for people; durations are milliseconds. */
+/** Formats a plain-text table with one row for each part of the mix. */
 export function formatLoadSummaries(summaries: LoadSummary[]): string {
   const rows = summaries.map((summary) => [
     summary.part,
     String(summary.sent),
     String(summary.answered),
-    both(summary.firstByte),
-    both(summary.total),
-    others(summary.others),
+    formatPercentiles(summary.firstByte),
+    formatPercentiles(summary.total),
+    formatCounts(summary.others),
   ]);
   const header = [
     "part",
@@ -19,21 +19,21 @@
     "total p50/p99",
     "not answered",
   ];
-  return table([header, ...rows]);
+  return formatTable([header, ...rows]);
 }
 
-function both({ p50, p99 }: Percentiles): string {
+function formatPercentiles({ p50, p99 }: Percentiles): string {
   return `${p50.toFixed(1)}/${p99.toFixed(1)} ms`;
 }
 
-function others(counts: Record<string, number>): string {
+function formatCounts(counts: Record<string, number>): string {
   const parts = Object.entries(counts).map(([reason, count]) =>
     `${reason} ${count}`
   );
   return parts.length === 0 ? "-" : parts.join(", ");
 }
 
-function table(rows: string[][]): string {
+function formatTable(rows: string[][]): string {
   const widths = rows[0]!.map((_, column) =>
     Math.max(...rows.map((row) => row[column]!.length))
   );
--- a/packages/emulator/src/load/load_request.ts
+++ b/packages/emulator/src/load/load_request.ts
@@ -1,22 +1,23 @@
-/** Requests of a load. @module */
+/** Creates the requests of a load. @module */
 import process from "node:process";
 import { CHARACTERS_PER_TOKEN } from "../engine/prefix_cache.ts";
 import type { MixPart } from "./mix.ts";
 
-/** How the requests of a load look. */
+/** Options of the requests of a load. */
 export type LoadRequestOptions = {
   model: string;
   bookingService: string;
   promptTokens: number;
   outputTokens: number;
-  /** Milliseconds; the tier's default when absent. */
+  /** Deadline in milliseconds; undefined for the tier's default. */
   deadline: number | undefined;
+  /** Bearer token. */
   token: string | undefined;
-  /** Paths as the servers themselves have them, without the entry's prefix. */
+  /** Targets a backend server: paths have no `/services/<name>` prefix. */
   direct: boolean;
 };
 
-/** One request ready to be sent. */
+/** One request to send. */
 export type LoadRequest = {
   method: "GET" | "POST";
   path: string;
@@ -24,15 +25,15 @@
   body: string | null;
 };
 
-/** The request number `number` of a load; its marker is unique in the load. */
-export function loadRequest(
+/** Creates the request `number`; its marker is unique within the load. */
+export function createLoadRequest(
   part: MixPart,
-  shape: LoadRequestOptions,
+  options: LoadRequestOptions,
   number: number,
 ): LoadRequest {
   const marker = `#load-${number}#`;
-  const headers = headersOf(part, shape);
-  const prefix = shape.direct ? "" : `/services/${shape.bookingService}`;
+  const headers = createHeaders(part, options);
+  const prefix = options.direct ? "" : `/services/${options.bookingService}`;
   if (part.kind === "lookup") {
     return { method: "GET", path: `${prefix}/bookings/1`, headers, body: null };
   }
@@ -41,40 +42,40 @@
     const body = JSON.stringify({ note: marker });
     return { method: "POST", path: `${prefix}/bookings`, headers, body };
   }
-  const body = chatBody(shape, marker, part.kind === "stream");
+  const body = createChatBody(options, marker, part.kind === "stream");
   return { method: "POST", path: "/v1/chat/completions", headers, body };
 }
 
-function headersOf(
+function createHeaders(
   part: MixPart,
-  shape: LoadRequestOptions,
+  options: LoadRequestOptions,
 ): Record<string, string> {
   const headers: Record<string, string> = {
     "content-type": "application/json",
   };
-  if (shape.token !== undefined) {
-    headers["authorization"] = `Bearer ${shape.token}`;
+  if (options.token !== undefined) {
+    headers["authorization"] = `Bearer ${options.token}`;
   }
   if (part.tier !== undefined) {
     headers["sycamorepulley-tier"] = part.tier;
   }
-  if (shape.deadline !== undefined) {
-    headers["sycamorepulley-deadline"] = String(shape.deadline);
+  if (options.deadline !== undefined) {
+    headers["sycamorepulley-deadline"] = String(options.deadline);
   }
   return headers;
 }
 
-function chatBody(
-  shape: LoadRequestOptions,
+function createChatBody(
+  options: LoadRequestOptions,
   marker: string,
   stream: boolean,
 ): string {
-  const length = shape.promptTokens * CHARACTERS_PER_TOKEN - marker.length;
+  const length = options.promptTokens * CHARACTERS_PER_TOKEN - marker.length;
   const content = marker + "x".repeat(Math.max(0, length));
   return JSON.stringify({
-    model: shape.model,
+    model: options.model,
     messages: [{ role: "user", content }],
-    max_tokens: shape.outputTokens,
+    max_tokens: options.outputTokens,
     stream,
   });
 }
--- a/packages/emulator/src/load/load_results.ts
+++ b/packages/emulator/src/load/load_results.ts
@@ -1,29 +1,29 @@
-/** What the callers of a load received. @module */
+/** Collects the outcomes of a load's requests. @module */
 import { build } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
 
-const MICROSECONDS = 1000;
+const MICROSECONDS_PER_MILLISECOND = 1000;
 
-/** How one request of a load ended. Durations are milliseconds. */
+/** Outcome of one request of a load. Durations are in milliseconds. */
 export type LoadOutcome = {
-  /** `answered`, `broken`, or the reason of the refusal. */
+  /** `answered`, `broken`, `unsent`, the reason of a refusal, or its status. */
   result: string;
   firstByte: number;
   total: number;
 };
 
-/** Counts and percentiles of one part of the mix; milliseconds. */
+/** Results of one part of the mix. Durations are in milliseconds. */
 export type LoadSummary = {
   part: string;
   sent: number;
   answered: number;
-  /** Refusals and breaks by reason. */
+  /** Number of requests with any other result than `answered`, by result. */
   others: Record<string, number>;
   firstByte: Percentiles;
   total: Percentiles;
 };
 
-/** Milliseconds. */
+/** Percentiles of a duration in milliseconds. */
 export type Percentiles = { p50: number; p99: number };
 
 type PartResults = {
@@ -32,22 +32,24 @@
   total: Histogram;
 };
 
-/** Collects outcomes by part of the mix. */
+/** Collects outcomes separately for each part of the mix. */
 export class LoadResults {
   readonly #parts = new Map<string, PartResults>();
 
-  add(part: string, outcome: LoadOutcome): void {
+  recordOutcome(part: string, outcome: LoadOutcome): void {
     const results = this.#parts.get(part) ?? this.#create(part);
     const count = results.counts.get(outcome.result) ?? 0;
     results.counts.set(outcome.result, count + 1);
     if (outcome.result === "answered") {
-      results.firstByte.recordValue(outcome.firstByte * MICROSECONDS);
-      results.total.recordValue(outcome.total * MICROSECONDS);
+      results.firstByte.recordValue(
+        outcome.firstByte * MICROSECONDS_PER_MILLISECOND,
+      );
+      results.total.recordValue(outcome.total * MICROSECONDS_PER_MILLISECOND);
     }
   }
 
   summaries(): LoadSummary[] {
-    return [...this.#parts].map(([part, results]) => summary(part, results));
+    return [...this.#parts].map(([part, results]) => summarise(part, results));
   }
 
   #create(part: string): PartResults {
@@ -61,7 +63,7 @@
   }
 }
 
-function summary(part: string, results: PartResults): LoadSummary {
+function summarise(part: string, results: PartResults): LoadSummary {
   const { answered = 0, ...others } = Object.fromEntries(results.counts);
   const sent = [...results.counts.values()].reduce((sum, one) => sum + one, 0);
   return {
@@ -76,6 +78,6 @@
 
 function percentiles(histogram: Histogram): Percentiles {
   const at = (percentile: number) =>
-    histogram.getValueAtPercentile(percentile) / MICROSECONDS;
+    histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MILLISECOND;
   return { p50: at(50), p99: at(99) };
 }
--- a/packages/emulator/src/load/run_load.ts
+++ b/packages/emulator/src/load/run_load.ts
@@ -1,27 +1,35 @@
-/** Open-loop load: arrivals do not wait for answers. @module */
+/**
+ * Open-loop load: requests are sent at their arrival times, without waiting for
+ * earlier responses.
+ * @module
+ */
 import { setTimeout } from "node:timers/promises";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { Agent } from "undici";
-import { loadRequest } from "./load_request.ts";
+import { createLoadRequest } from "./load_request.ts";
 import type { LoadRequestOptions } from "./load_request.ts";
 import { LoadResults } from "./load_results.ts";
 import type { LoadSummary } from "./load_results.ts";
-import { loadTarget } from "./load_target.ts";
+import { parseLoadTarget } from "./load_target.ts";
 import { pickPart } from "./mix.ts";
 import type { MixPart } from "./mix.ts";
 import { sendLoadRequest } from "./send_load_request.ts";
 
-/** Bounds that keep a slip of the keyboard from flooding the machine. */
+/**
+ * Requests per second. This and the next two bounds keep mistyped options from
+ * overloading the machine.
+ */
 const MAX_RATE = 2000;
 const MAX_SECONDS = 600;
+/** Requests without a response; further ones are counted as `unsent`. */
 const MAX_OUTSTANDING = 20_000;
 
-/** What to send. */
+/** The requests to send. */
 export type LoadOptions = {
-  /** On 127.0.0.0/8. */
+  /** URL with an address in 127.0.0.0/8. */
   target: string;
-  /** Requests a second on average; arrivals are a Poisson process. */
+  /** Average requests per second; arrivals are a Poisson process. */
   rate: number;
   seconds: number;
   mix: MixPart[];
@@ -29,25 +37,29 @@
   seed: number;
 };
 
-/** Sends the load and waits for every answer. */
+/** Sends the load and waits until every request has ended. */
 export async function runLoad(options: LoadOptions): Promise<LoadSummary[]> {
-  const target = loadTarget(options.target);
+  const target = parseLoadTarget(options.target);
   checkBounds(options);
   const results = new LoadResults();
   const outstanding = new Set<Promise<void>>();
   const agent = new Agent({ headersTimeout: 0, bodyTimeout: 0 });
   for await (const arrival of arrivals(options)) {
     if (outstanding.size >= MAX_OUTSTANDING) {
-      results.add(arrival.name, { result: "unsent", firstByte: 0, total: 0 });
+      results.recordOutcome(arrival.name, {
+        result: "unsent",
+        firstByte: 0,
+        total: 0,
+      });
       continue;
     }
-    const request = loadRequest(
+    const request = createLoadRequest(
       arrival.part,
       options.requestOptions,
       arrival.number,
     );
     const sent = sendLoadRequest(target, request, agent).then((outcome) => {
-      results.add(arrival.name, outcome);
+      results.recordOutcome(arrival.name, outcome);
       outstanding.delete(sent);
     });
     outstanding.add(sent);
@@ -59,10 +71,12 @@
 
 function checkBounds({ rate, seconds }: LoadOptions): void {
   if (!(rate > 0 && rate <= MAX_RATE)) {
-    throw new Error(`use a rate over 0 and up to ${MAX_RATE} a second`);
+    throw new Error(
+      `rate must be over 0 and at most ${MAX_RATE} requests per second`,
+    );
   }
   if (!(seconds > 0 && seconds <= MAX_SECONDS)) {
-    throw new Error(`use seconds over 0 and up to ${MAX_SECONDS}`);
+    throw new Error(`seconds must be over 0 and at most ${MAX_SECONDS}`);
   }
 }
 
--- a/packages/emulator/src/main.ts
+++ b/packages/emulator/src/main.ts
@@ -1,21 +1,21 @@
 #!/usr/bin/env node
-/** `node dist/main.js <emulator> --port …`: one emulator as a process. @module */
+/** Command line that runs an emulator as a process, or sends load. @module */
 import { cac } from "cac";
 import process from "node:process";
 import * as v from "valibot";
-import { registerEngine } from "./commands/engine_command.ts";
-import { registerLoad } from "./commands/load_command.ts";
-import { registerPlain } from "./commands/plain_command.ts";
-import { registerPlatform } from "./commands/platform_commands.ts";
+import { registerEngineCommand } from "./commands/engine_command.ts";
+import { registerLoadCommand } from "./commands/load_command.ts";
+import { registerPlainCommand } from "./commands/plain_command.ts";
+import { registerPlatformCommands } from "./commands/platform_commands.ts";
 
 const program = cac("emulator");
-registerEngine(program);
-registerPlain(program);
-registerPlatform(program);
-registerLoad(program);
+registerEngineCommand(program);
+registerPlainCommand(program);
+registerPlatformCommands(program);
+registerLoadCommand(program);
 program.help();
 program.addEventListener("command:*", () => {
-  fail(new Error(`no emulator is called "${program.args[0]}"; see --help`));
+  fail(new Error(`unknown command "${program.args[0]}"; see --help`));
 });
 
 try {
@@ -26,11 +26,11 @@
 }
 
 function fail(error: unknown): never {
-  console.error(explain(error));
+  console.error(describeError(error));
   process.exit(2);
 }
 
-function explain(error: unknown): string {
+function describeError(error: unknown): string {
   if (error instanceof v.ValiError) {
     return v.summarize(error.issues);
   }
--- a/packages/emulator/src/markers/marked_text.ts
+++ b/packages/emulator/src/markers/marked_text.ts
@@ -1,17 +1,21 @@
 /**
- * Answers whose every token names the request that it belongs to, so that a
- * caller can prove that it got its own answer, and got it whole.
+ * Response texts in which every token names its request, its position and the
+ * total number of tokens. With it, a caller can check that a response belongs
+ * to its own request and is complete.
  * @module
  */
 const MARKER = /#([\w.-]+)#/;
 const UNMARKED = "unmarked";
 
-/** The marker in a prompt, a body or a path, written `#marker#`. */
+/**
+ * Returns the marker in a prompt, body or path, where it is written as
+ * `#marker#`.
+ */
 export function findMarker(text: string): string | undefined {
   return MARKER.exec(text)?.[1];
 }
 
-/** Token `index` (from 1) of `count`. */
+/** Returns the token number `index`, counted from 1, out of `count` tokens. */
 export function markedToken(
   marker: string | undefined,
   index: number,
@@ -20,7 +24,7 @@
   return `${marker ?? UNMARKED}:${index}/${count} `;
 }
 
-/** The whole answer of `count` tokens. */
+/** Returns the complete text of `count` tokens. */
 export function markedText(marker: string | undefined, count: number): string {
   let text = "";
   for (let index = 1; index <= count; index++) {
@@ -29,7 +33,7 @@
   return text;
 }
 
-/** Whether `text` is the whole answer to the request with `marker`. */
+/** Whether `text` is the complete response to the request with this marker. */
 export function isCompleteText(text: string, marker: string): boolean {
   const first = text.split(" ", 1)[0] ?? "";
   const count = Number(first.split("/")[1]);
--- a/packages/emulator/src/mod.ts
+++ b/packages/emulator/src/mod.ts
@@ -1,4 +1,7 @@
-/** Emulated engines, plain services and platform services. @module */
+/**
+ * Emulated model engines, plain services and platform services, and load.
+ * @module
+ */
 export {
   findMarker,
   isCompleteText,
--- a/packages/emulator/src/plain/booking_service.ts
+++ b/packages/emulator/src/plain/booking_service.ts
@@ -1,22 +1,29 @@
-/** An emulated booking service: a plain service with calls not to be repeated. @module */
+/**
+ * An emulated booking service: a plain service with non-idempotent calls.
+ * @module
+ */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { setTimeout } from "node:timers/promises";
 import { findMarker } from "../markers/marked_text.ts";
-import { FaultSwitch } from "../faults/fault_switch.ts";
-import { failRecord, followAnswer, History } from "../history/history.ts";
+import { FaultInjector } from "../faults/fault_injector.ts";
+import {
+  History,
+  recordFailure,
+  recordOutcomeOnClose,
+} from "../history/history.ts";
 import type { HistoryRecord } from "../history/history_record.ts";
 import {
   parseJson,
-  readText,
-  sendCutJson,
+  readBody,
   sendJson,
+  sendTruncatedJson,
 } from "../server/http_messages.ts";
 import { CallSlots } from "./call_slots.ts";
 import type { PlainSettings } from "./plain_settings.ts";
 
 const BOOKING_PATH = /^\/bookings\/(\d+)$/;
 
-/** One slot that was booked. */
+/** One stored booking. */
 export type Booking = {
   id: number;
   server: string;
@@ -25,116 +32,120 @@
 };
 
 /**
- * `POST /bookings` makes a new booking each time that it runs, and does not
- * look at idempotency keys: running it twice books twice.
+ * `POST /bookings` creates a new booking each time that it runs. It ignores
+ * idempotency keys, so running it twice creates two bookings.
  */
 export class BookingService {
   readonly history: History;
-  readonly faultSwitch: FaultSwitch;
+  readonly faultInjector: FaultInjector;
   readonly #settings: PlainSettings;
   readonly #slots: CallSlots;
-  readonly #crash: () => void;
+  readonly #onCrash: () => void;
   readonly #bookings: Booking[] = [];
 
-  constructor(settings: PlainSettings, crash: () => void) {
+  constructor(settings: PlainSettings, onCrash: () => void) {
     this.#settings = settings;
-    this.#crash = crash;
+    this.#onCrash = onCrash;
     this.#slots = new CallSlots(settings.maxCalls);
     this.history = new History(settings.name);
-    this.faultSwitch = new FaultSwitch(settings.seed);
+    this.faultInjector = new FaultInjector(settings.seed);
   }
 
   stop(): void {}
 
-  /** Answers every request that is no control request. */
-  async answer(
+  /** Handles every request other than those to the control routes. */
+  async handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
     if (request.url === "/health") {
-      const { healthy } = this.faultSwitch.faults;
+      const { healthy } = this.faultInjector.faults;
       sendJson(response, healthy ? 200 : 503, { healthy });
       return;
     }
-    const text = await readText(request);
-    const marker = findMarker(text) ?? findMarker(decodePath(request.url));
-    const record = this.history.start(request, { marker }, Date.now());
-    followAnswer(record, response);
-    if (this.#failsEarly(record, response)) {
+    const body = await readBody(request);
+    const marker = findMarker(body) ?? findMarker(decodePath(request.url));
+    const record = this.history.recordStart(request, { marker }, Date.now());
+    recordOutcomeOnClose(record, response);
+    if (this.#injectFault(record, response)) {
       return;
     }
-    await this.#call();
-    this.#finish(record, response, text);
+    await this.#runCall();
+    this.#respond(record, response, body);
   }
 
-  #failsEarly(record: HistoryRecord, response: ServerResponse): boolean {
-    if (this.faultSwitch.crashes(record.marker)) {
-      failRecord(record, Date.now());
-      this.#crash();
+  /** Returns true if the request must not be processed any further. */
+  #injectFault(record: HistoryRecord, response: ServerResponse): boolean {
+    if (this.faultInjector.shouldCrash(record.marker)) {
+      recordFailure(record, Date.now());
+      this.#onCrash();
       return true;
     }
     const route = `${record.method} ${record.path}`;
-    const status = this.faultSwitch.errorStatus(route);
+    const status = this.faultInjector.drawErrorStatus(route);
     if (status !== undefined) {
-      failRecord(record, Date.now());
+      recordFailure(record, Date.now());
       sendJson(response, status, { error: { message: "emulated failure" } });
       return true;
     }
-    return this.faultSwitch.faults.hang;
+    return this.faultInjector.faults.hang;
   }
 
-  async #call(): Promise<void> {
-    await this.#slots.take();
+  async #runCall(): Promise<void> {
+    await this.#slots.acquire();
     const { callTime } = this.#settings;
     if (callTime > 0) {
-      await setTimeout(callTime * this.faultSwitch.faults.slowFactor);
+      await setTimeout(callTime * this.faultInjector.faults.slowFactor);
     }
-    this.#slots.give();
+    this.#slots.release();
   }
 
-  #finish(
+  #respond(
     record: HistoryRecord,
     response: ServerResponse,
-    text: string,
+    body: string,
   ): void {
     if (record.outcome !== "running") {
       return;
     }
-    const { status, document } = this.#result(record, text);
-    if (this.faultSwitch.crashesMidAnswer(record.marker)) {
-      failRecord(record, Date.now());
-      this.#crash();
+    const { status, document } = this.#createResult(record, body);
+    if (this.faultInjector.shouldCrashMidResponse(record.marker)) {
+      recordFailure(record, Date.now());
+      this.#onCrash();
       return;
     }
-    if (this.faultSwitch.faults.cutAfterTokens !== undefined) {
-      failRecord(record, Date.now());
-      sendCutJson(response, document);
+    if (this.faultInjector.faults.cutAfterTokens !== undefined) {
+      recordFailure(record, Date.now());
+      sendTruncatedJson(response, document);
       return;
     }
     sendJson(response, status, document);
   }
 
-  #result(
+  #createResult(
     record: HistoryRecord,
-    text: string,
+    body: string,
   ): { status: number; document: unknown } {
     if (record.method === "POST" && record.path === "/bookings") {
-      return { status: 201, document: this.#book(record.marker, text) };
+      return {
+        status: 201,
+        document: this.#createBooking(record.marker, body),
+      };
     }
-    const found = BOOKING_PATH.exec(record.path)?.[1];
-    const booking = this.#bookings[Number(found) - 1];
+    const bookingId = BOOKING_PATH.exec(record.path)?.[1];
+    const booking = this.#bookings[Number(bookingId) - 1];
     if (record.method !== "GET" || booking === undefined) {
       return { status: 404, document: { error: { message: "not found" } } };
     }
     return { status: 200, document: booking };
   }
 
-  #book(marker: string | undefined, text: string): Booking {
+  #createBooking(marker: string | undefined, body: string): Booking {
     const booking = {
       id: this.#bookings.length + 1,
       server: this.#settings.name,
       marker,
-      details: parseJson(text),
+      details: parseJson(body),
     };
     this.#bookings.push(booking);
     return booking;
--- a/packages/emulator/src/plain/call_slots.ts
+++ b/packages/emulator/src/plain/call_slots.ts
@@ -1,6 +1,6 @@
-/** Lets a limited number of calls run at once, in the order of asking. @module */
+/** Limits the number of concurrent calls. @module */
 
-/** First come, first served. */
+/** A counting semaphore that serves waiting calls in order of arrival. */
 export class CallSlots {
   #free: number;
   readonly #waiting: (() => void)[] = [];
@@ -9,8 +9,8 @@
     this.#free = slots;
   }
 
-  /** Resolves when a slot is taken. */
-  take(): Promise<void> {
+  /** Resolves once a slot has been acquired. */
+  acquire(): Promise<void> {
     if (this.#free > 0) {
       this.#free -= 1;
       return Promise.resolve();
@@ -18,7 +18,7 @@
     return new Promise((resolve) => this.#waiting.push(resolve));
   }
 
-  give(): void {
+  release(): void {
     const next = this.#waiting.shift();
     if (next === undefined) {
       this.#free += 1;
--- a/packages/emulator/src/plain/plain_settings.ts
+++ b/packages/emulator/src/plain/plain_settings.ts
@@ -1,17 +1,16 @@
-/** How an emulated plain service is built. @module */
+/** Settings of an emulated plain service. @module */
 import * as v from "valibot";
 
-/** Durations are milliseconds. */
+/** Durations are in milliseconds. */
 export const plainSettingsSchema = v.strictObject({
   name: v.optional(v.string(), "plain"),
-  /** Time that one call takes. */
+  /** Duration of one call. */
   callTime: v.optional(v.pipe(v.number(), v.minValue(0)), 5),
-  /** Calls that run at once; the others wait inside the service. */
+  /** Maximum number of concurrent calls; others wait in the service. */
   maxCalls: v.optional(v.pipe(v.number(), v.safeInteger(), v.minValue(1)), 8),
-  /** Seed of the errors drawn by the fault switch. */
+  /** Seed of the random draws for `errorRates`. */
   seed: v.optional(v.pipe(v.number(), v.safeInteger()), 1),
 });
-/** See {@link plainSettingsSchema}. */
 export type PlainSettings = v.InferOutput<typeof plainSettingsSchema>;
-/** Settings as given; what is absent takes its default. */
+/** Settings before defaults are filled in. */
 export type PlainSettingsInput = v.InferInput<typeof plainSettingsSchema>;
--- a/packages/emulator/src/plain/start_plain_service.ts
+++ b/packages/emulator/src/plain/start_plain_service.ts
@@ -1,13 +1,13 @@
 /** Starts an emulated plain service. @module */
 import * as v from "valibot";
-import { startBackend } from "../server/backend_server.ts";
+import { startBackendServer } from "../server/backend_server.ts";
 import type { BackendServer } from "../server/backend_server.ts";
 import type { ListenOptions } from "../server/emulated_server.ts";
 import { BookingService } from "./booking_service.ts";
 import { plainSettingsSchema } from "./plain_settings.ts";
 import type { PlainSettingsInput } from "./plain_settings.ts";
 
-/** Listens with `POST /bookings`, `GET /bookings/:id` and `GET /health`. */
+/** Starts a service with `POST /bookings`, `GET /bookings/:id`, `GET /health`. */
 export function startPlainService(
   options: ListenOptions & {
     settings?: PlainSettingsInput;
@@ -15,5 +15,8 @@
   } = {},
 ): Promise<BackendServer> {
   const settings = v.parse(plainSettingsSchema, options.settings ?? {});
-  return startBackend((crash) => new BookingService(settings, crash), options);
+  return startBackendServer(
+    (onCrash) => new BookingService(settings, onCrash),
+    options,
+  );
 }
--- a/packages/emulator/src/platform/instance_list_service.ts
+++ b/packages/emulator/src/platform/instance_list_service.ts
@@ -1,34 +1,39 @@
-/** The emulated instance list of docs/platform-protocol.md, with a lag. @module */
+/**
+ * The emulated instance list of docs/platform-protocol.md, with lags.
+ * @module
+ */
 import { instanceSchema } from "@sycamorepulley/store";
 import * as v from "valibot";
-import { listFaultsSchema } from "./faults.ts";
-import { json, parseJson } from "./answers.ts";
-import { FaultyServer } from "./faulty_server.ts";
-import type { StartedServer, StartOptions } from "./faulty_server.ts";
-import { LaggingInstances } from "./lagging_instances.ts";
+import { instanceListFaultsSchema } from "./platform_faults.ts";
+import { jsonResponse, parseJson } from "./service_calls.ts";
+import { FaultInjectingServer } from "./fault_injecting_server.ts";
+import type { StartedService, StartOptions } from "./fault_injecting_server.ts";
+import { LaggingInstanceList } from "./lagging_instance_list.ts";
 
-/** Starts the list; `close` cuts the connections that are open. */
+/** Starts the service; its `close` also closes open connections. */
 export function startInstanceList(
   options: StartOptions = {},
-): Promise<StartedServer> {
-  const server = new FaultyServer(listFaultsSchema);
-  const instances = new LaggingInstances();
-  server.serve("get", "/instances", () => {
+): Promise<StartedService> {
+  const server = new FaultInjectingServer(instanceListFaultsSchema);
+  const instances = new LaggingInstanceList();
+  server.addServiceRoute("get", "/instances", () => {
     const { leaveLag } = server.faults;
     const list = instances.list({ now: performance.now(), leaveLag });
-    return json(200, { instances: list });
+    return jsonResponse(200, { instances: list });
   });
-  server.serve("put", "/instances/:name", (call) => {
+  server.addServiceRoute("put", "/instances/:name", (call) => {
     const instance = v.safeParse(instanceSchema, parseJson(call.body));
     if (!instance.success || instance.output.name !== call.name) {
-      return json(400, { problem: "send the named instance" });
+      return jsonResponse(400, {
+        problem: "body must be an instance with the name given in the path",
+      });
     }
     const { appearLag, leaveLag } = server.faults;
     const lag = instances.has(call.name) ? leaveLag : appearLag;
     instances.register(instance.output, { now: performance.now(), lag });
     return { status: 204 };
   });
-  server.serve("delete", "/instances/:name", (call) => {
+  server.addServiceRoute("delete", "/instances/:name", (call) => {
     const lag = server.faults.leaveLag;
     instances.deregister(call.name, { now: performance.now(), lag });
     return { status: 204 };
--- a/packages/emulator/src/platform/key_value_service.ts
+++ b/packages/emulator/src/platform/key_value_service.ts
@@ -1,7 +1,7 @@
 /**
  * The emulated key-value service of docs/platform-protocol.md. `PUT /backup`
- * keeps a copy of the state and `PUT /restore` puts it back, as a service does
- * that loses its newest writes.
+ * saves a copy of the state and `PUT /restore` restores it, which emulates a
+ * service that loses its latest writes.
  * @module
  */
 import { MemoryKeyValueStore } from "@sycamorepulley/store";
@@ -11,52 +11,69 @@
   PlatformError,
   WatchOutcome,
 } from "@sycamorepulley/store";
-import { faultsSchema } from "./faults.ts";
-import type { Faults } from "./faults.ts";
-import { json, parseJson } from "./answers.ts";
-import type { Answer, Call } from "./answers.ts";
-import { FaultyServer } from "./faulty_server.ts";
-import type { StartedServer, StartOptions } from "./faulty_server.ts";
+import { platformFaultsSchema } from "./platform_faults.ts";
+import type { PlatformFaults } from "./platform_faults.ts";
+import { jsonResponse, parseJson } from "./service_calls.ts";
+import type { ServiceCall, ServiceResponse } from "./service_calls.ts";
+import { FaultInjectingServer } from "./fault_injecting_server.ts";
+import type { StartedService, StartOptions } from "./fault_injecting_server.ts";
 
+/** Longest wait of a watch, in milliseconds. */
 const MAXIMUM_WAIT = 60_000;
 const UNCHANGED: WatchOutcome = { changed: false };
 
-/** Starts the service; `close` cuts the connections that are open. */
+/** Starts the service; its `close` also closes open connections. */
 export function startKeyValueStore(
   options: StartOptions = {},
-): Promise<StartedServer> {
-  const server = new FaultyServer(faultsSchema);
+): Promise<StartedService> {
+  const server = new FaultInjectingServer(platformFaultsSchema);
   const store = new MemoryKeyValueStore();
-  serveKeys(server, store);
-  serveLeases(server, store);
-  steerState(server, store);
+  addKeyRoutes(server, store);
+  addLeaseRoutes(server, store);
+  addBackupRoutes(server, store);
   return server.listen(options);
 }
 
-function serveKeys(
-  server: FaultyServer<Faults>,
+function addKeyRoutes(
+  server: FaultInjectingServer<PlatformFaults>,
   store: MemoryKeyValueStore,
 ): void {
-  server.serve("get", "/keys/:name", (call) => read(store, call));
-  server.serve("put", "/keys/:name", (call) => swap(store, call));
+  server.addServiceRoute(
+    "get",
+    "/keys/:name",
+    (call) => handleRead(store, call),
+  );
+  server.addServiceRoute(
+    "put",
+    "/keys/:name",
+    (call) => handleCompareAndSwap(store, call),
+  );
 }
 
-async function read(store: MemoryKeyValueStore, call: Call): Promise<Answer> {
+async function handleRead(
+  store: MemoryKeyValueStore,
+  call: ServiceCall,
+): Promise<ServiceResponse> {
   const after = call.query.get("after");
   if (after === null) {
     const entry = await store.get(call.name);
-    return entryAnswer(200, entry.unwrapOr(undefined));
+    return entryResponse(200, entry.unwrapOr(undefined));
   }
   const wait = Math.min(MAXIMUM_WAIT, Number(call.query.get("wait") ?? 0));
   const options = { key: call.name, after: Number(after), wait };
   const outcome = (await store.watch(options)).unwrapOr(UNCHANGED);
-  return outcome.changed ? entryAnswer(200, outcome.entry) : { status: 304 };
+  return outcome.changed ? entryResponse(200, outcome.entry) : { status: 304 };
 }
 
-async function swap(store: MemoryKeyValueStore, call: Call): Promise<Answer> {
+async function handleCompareAndSwap(
+  store: MemoryKeyValueStore,
+  call: ServiceCall,
+): Promise<ServiceResponse> {
   const expected = /^"(\d+)"$/.exec(call.headers["if-match"] ?? "")?.[1];
   if (expected === undefined) {
-    return json(428, { problem: 'send If-Match: "revision"' });
+    return jsonResponse(428, {
+      problem: 'header If-Match: "<revision>" is required',
+    });
   }
   const lease = call.query.get("lease");
   const outcome = await store.compareAndSwap({
@@ -69,55 +86,60 @@
     Ok: (outcome) =>
       outcome.swapped
         ? { status: 200, headers: { etag: `"${outcome.revision}"` } }
-        : entryAnswer(412, outcome.current ?? { value: "", revision: 0 }),
-    Err: refusedAnswer,
+        : entryResponse(412, outcome.current ?? { value: "", revision: 0 }),
+    Err: errorResponse,
   });
 }
 
-function serveLeases(
-  server: FaultyServer<Faults>,
+function addLeaseRoutes(
+  server: FaultInjectingServer<PlatformFaults>,
   store: MemoryKeyValueStore,
 ): void {
-  server.serve("post", "/leases", async (call) => {
+  server.addServiceRoute("post", "/leases", async (call) => {
     const body = parseJson(call.body) as { duration?: unknown } | undefined;
     const duration = Number(body?.duration);
     if (!(duration > 0)) {
-      return json(400, { problem: "send the duration in milliseconds" });
+      return jsonResponse(400, {
+        problem: "duration must be a positive number of milliseconds",
+      });
     }
     const lease = await store.grantLease(duration);
     return lease.match({
-      Ok: (lease) => json(201, { lease }),
-      Err: refusedAnswer,
+      Ok: (lease) => jsonResponse(201, { lease }),
+      Err: errorResponse,
     });
   });
-  server.serve("put", "/leases/:name", async (call) => {
+  server.addServiceRoute("put", "/leases/:name", async (call) => {
     const renewed = (await store.renewLease(call.name)).unwrapOr(false);
-    return json(renewed ? 200 : 404, {});
+    return jsonResponse(renewed ? 200 : 404, {});
   });
-  server.serve("delete", "/leases/:name", async (call) => {
+  server.addServiceRoute("delete", "/leases/:name", async (call) => {
     await store.revokeLease(call.name);
     return { status: 204 };
   });
 }
 
-function steerState(
-  server: FaultyServer<Faults>,
+function addBackupRoutes(
+  server: FaultInjectingServer<PlatformFaults>,
   store: MemoryKeyValueStore,
 ): void {
   let backup: KeyValueBackup = store.backup();
-  server.steer("put", "/backup", () => {
+  server.addControlRoute("put", "/backup", () => {
     backup = store.backup();
     return { status: 204 };
   });
-  server.steer("put", "/restore", () => {
+  server.addControlRoute("put", "/restore", () => {
     store.restore(backup);
     return { status: 204 };
   });
 }
 
-function entryAnswer(status: number, entry: KeyValueEntry | undefined): Answer {
+function entryResponse(
+  status: number,
+  entry: KeyValueEntry | undefined,
+): ServiceResponse {
   if (entry === undefined) {
-    return json(404, { problem: "no such key" });
+    return jsonResponse(404, { problem: "key not found" });
   }
   return {
     status,
@@ -129,7 +151,7 @@
   };
 }
 
-function refusedAnswer(error: PlatformError): Answer {
+function errorResponse(error: PlatformError): ServiceResponse {
   const status = error.reason === "too_large" ? 413 : 409;
-  return json(status, { problem: error.detail });
+  return jsonResponse(status, { problem: error.detail });
 }
--- a/packages/emulator/src/platform/lagging_instances.ts
+++ b/packages/emulator/src/platform/lagging_instance_list.ts
@@ -1,15 +1,18 @@
-/** The instance list's view of the fleet, late by a lag. @module */
+/** An instance list whose readers see changes only after a lag. @module */
 import type { Instance } from "@sycamorepulley/store";
 
-/** An instance that sends no heartbeat for this long is dropped. */
-const SILENCE = 10_000;
+/** Milliseconds without a heartbeat after which an instance is removed. */
+const HEARTBEAT_TIMEOUT = 10_000;
 
 type Change = { visibleAt: number; instance: Instance | undefined };
-type Listed = { changes: Change[]; heartbeatAt: number };
+type ListedInstance = { changes: Change[]; heartbeatAt: number };
 
-/** Pure: the present time (milliseconds) and the lags are arguments. */
-export class LaggingInstances {
-  #listed = new Map<string, Listed>();
+/**
+ * Reads no clock: the current time and the lags, in milliseconds, are
+ * arguments.
+ */
+export class LaggingInstanceList {
+  #listed = new Map<string, ListedInstance>();
 
   register(instance: Instance, options: { now: number; lag: number }): void {
     const { now, lag } = options;
@@ -33,13 +36,13 @@
     return this.#listed.get(name)?.changes.at(-1)?.instance !== undefined;
   }
 
-  /** What a reader sees at `now`. */
+  /** Returns the instances that a reader sees at the time `now`. */
   list(options: { now: number; leaveLag: number }): Instance[] {
     const visible: Instance[] = [];
     for (const [name, listed] of this.#listed) {
-      const instance = this.#view(listed, options.now);
-      const silentFor = options.now - listed.heartbeatAt;
-      if (silentFor > SILENCE + options.leaveLag) {
+      const instance = this.#visibleInstance(listed, options.now);
+      const sinceHeartbeat = options.now - listed.heartbeatAt;
+      if (sinceHeartbeat > HEARTBEAT_TIMEOUT + options.leaveLag) {
         this.#listed.delete(name);
       } else if (instance !== undefined) {
         visible.push(instance);
@@ -48,7 +51,7 @@
     return visible;
   }
 
-  #view(listed: Listed, now: number): Instance | undefined {
+  #visibleInstance(listed: ListedInstance, now: number): Instance | undefined {
     const index = listed.changes.findLastIndex((change) =>
       change.visibleAt <= now
     );
--- a/packages/emulator/src/platform/mod.ts
+++ b/packages/emulator/src/platform/mod.ts
@@ -1,7 +1,10 @@
-/** Emulated services of the platform, with switchable faults. @module */
+/** Emulated platform services with faults that can be switched on. @module */
 export { startKeyValueStore } from "./key_value_service.ts";
 export { startInstanceList } from "./instance_list_service.ts";
-export { faultsSchema, listFaultsSchema } from "./faults.ts";
-export type { Faults, ListFaults } from "./faults.ts";
+export {
+  instanceListFaultsSchema,
+  platformFaultsSchema,
+} from "./platform_faults.ts";
+export type { InstanceListFaults, PlatformFaults } from "./platform_faults.ts";
 export type { CallCounts } from "./call_counter.ts";
-export type { StartedServer, StartOptions } from "./faulty_server.ts";
+export type { StartedService, StartOptions } from "./fault_injecting_server.ts";
--- a/packages/emulator/src/platform/answers.ts
+++ b/packages/emulator/src/platform/service_calls.ts
@@ -1,33 +1,35 @@
-/** Reading calls and writing answers of an emulated service. @module */
+/** Reads the calls and writes the responses of a platform service. @module */
 import type { IncomingMessage, ServerResponse } from "node:http";
 
 const MAXIMUM_BODY_BYTES = 1024 * 1024;
 
-/** An answer before it is sent, or lost. */
-export type Answer = {
+/** Response of a call, before it is sent or lost by a fault. */
+export type ServiceResponse = {
   status: number;
   headers?: Record<string, string>;
   body?: string;
 };
 
-/** One call as its handler sees it. */
-export type Call = {
+/** One call, as passed to its handler. */
+export type ServiceCall = {
   name: string;
   query: URLSearchParams;
   headers: IncomingMessage["headers"];
   body: string;
 };
 
-/** Carries a call out. */
-export type Handler = (call: Call) => Answer | Promise<Answer>;
+/** Carries out a call and returns its response. */
+export type CallHandler = (
+  call: ServiceCall,
+) => ServiceResponse | Promise<ServiceResponse>;
 
-/** A request with the parameters of its path. */
+/** A request with the parameters of its route. */
 export type RoutedRequest = IncomingMessage & {
   params: Record<string, string | string[]>;
 };
 
-/** An answer with a JSON body. */
-export function json(status: number, body: unknown): Answer {
+/** Creates a response with a JSON body. */
+export function jsonResponse(status: number, body: unknown): ServiceResponse {
   return {
     status,
     headers: { "content-type": "application/json" },
@@ -35,7 +37,7 @@
   };
 }
 
-/** The value of a JSON text, `undefined` if it is none. */
+/** Parses JSON; returns `undefined` if the text is not valid JSON. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
@@ -44,14 +46,14 @@
   }
 }
 
-/** Reads the call and has it carried out. */
-export async function answerOf(
+/** Reads the call and passes it to its handler. */
+export async function handleCall(
   request: RoutedRequest,
-  handler: Handler,
-): Promise<Answer> {
+  handler: CallHandler,
+): Promise<ServiceResponse> {
   const body = await readBody(request);
   if (body === undefined) {
-    return json(413, { problem: "the body is too large" });
+    return jsonResponse(413, { problem: "request body exceeds 1 MiB" });
   }
   const url = new URL(request.url ?? "/", "http://localhost");
   const name = decodeURIComponent(String(request.params.name ?? ""));
@@ -63,7 +65,7 @@
   });
 }
 
-/** The whole body, `undefined` when it is over the bound. */
+/** Reads the body; returns `undefined` if it exceeds the maximum size. */
 async function readBody(request: IncomingMessage): Promise<string | undefined> {
   const chunks: Uint8Array[] = [];
   let length = 0;
@@ -78,11 +80,14 @@
     : Buffer.concat(chunks).toString("utf8");
 }
 
-/** Sends the answer unless the caller has gone. */
-export function send(response: ServerResponse, answer: Answer): void {
+/** Sends the response unless the caller has disconnected. */
+export function sendResponse(
+  response: ServerResponse,
+  serviceResponse: ServiceResponse,
+): void {
   if (response.destroyed) {
     return;
   }
-  response.writeHead(answer.status, answer.headers);
-  response.end(answer.body);
+  response.writeHead(serviceResponse.status, serviceResponse.headers);
+  response.end(serviceResponse.body);
 }
--- a/packages/emulator/src/server/backend_server.ts
+++ b/packages/emulator/src/server/backend_server.ts
@@ -1,60 +1,64 @@
-/** What the emulated backend servers have in common once started. @module */
+/** Common parts of the emulated backend servers. @module */
 import type { IncomingMessage, ServerResponse } from "node:http";
-import { answerControl } from "../faults/control_routes.ts";
-import type { FaultSwitch } from "../faults/fault_switch.ts";
+import { handleControlRequest } from "../faults/control_routes.ts";
+import type { FaultInjector } from "../faults/fault_injector.ts";
 import type { FaultsInput } from "../faults/faults.ts";
 import type { History } from "../history/history.ts";
 import type { HistoryRecord } from "../history/history_record.ts";
 import { listen } from "./emulated_server.ts";
 import type { EmulatedServer, ListenOptions } from "./emulated_server.ts";
-import { handle } from "./http_messages.ts";
+import { toRequestListener } from "./http_messages.ts";
 
-/** An emulated backend server with its history and fault switches. */
+/** A started backend server with its history and faults. */
 export type BackendServer = EmulatedServer & {
   readonly records: readonly HistoryRecord[];
   setFaults(faults: FaultsInput): void;
 };
 
-/** What answers the requests behind the server. */
-export type Backend = {
+/** Handles the requests of one kind of backend server. */
+export type RequestHandler = {
   history: History;
-  faultSwitch: FaultSwitch;
-  answer(request: IncomingMessage, response: ServerResponse): Promise<void>;
+  faultInjector: FaultInjector;
+  handleRequest(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): Promise<void>;
   stop(): void;
 };
 
 /**
- * Starts a backend. A crash calls `onCrash`, which in a process of its own is
- * the process's exit; by default it drops the listener and every connection.
+ * Starts a backend server. An emulated crash calls `onCrash`, which exits the
+ * process if the server runs in one of its own. By default a crash closes the
+ * listening socket and every connection.
  */
-export async function startBackend(
-  create: (crash: () => void) => Backend,
+export async function startBackendServer(
+  createHandler: (onCrash: () => void) => RequestHandler,
   options: ListenOptions & { onCrash?: (() => void) | undefined },
 ): Promise<BackendServer> {
-  const crash = options.onCrash ?? (() => void close());
-  const backend = create(crash);
+  const onCrash = options.onCrash ?? (() => void close());
+  const handler = createHandler(onCrash);
   const server = await listen(
-    handle(async (request, response) => {
-      if (await answerControl(request, response, backend)) return;
-      const { statedLimit } = backend.faultSwitch.faults;
+    toRequestListener(async (request, response) => {
+      if (await handleControlRequest(request, response, handler)) return;
+      const { statedLimit } = handler.faultInjector.faults;
       if (statedLimit !== undefined) {
         const { header, perSecond } = statedLimit;
         response.setHeader(header, String(perSecond));
       }
-      await backend.answer(request, response);
+      await handler.handleRequest(request, response);
     }),
     options,
   );
   async function close(): Promise<void> {
-    backend.stop();
+    handler.stop();
     await server.close();
   }
   return {
     ...server,
     close,
     get records() {
-      return backend.history.records;
+      return handler.history.records;
     },
-    setFaults: (faults) => backend.faultSwitch.set(faults),
+    setFaults: (faults) => handler.faultInjector.setFaults(faults),
   };
 }
--- a/packages/emulator/src/server/emulated_server.ts
+++ b/packages/emulator/src/server/emulated_server.ts
@@ -1,33 +1,36 @@
-/** HTTP servers on loopback that can be stopped gently or as by a crash. @module */
+/**
+ * Starts and closes HTTP servers, by default on the loopback address.
+ * @module
+ */
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** A started emulator. */
+/** A started HTTP server of an emulator. */
 export type EmulatedServer = {
-  /** `http://host:port`, without a slash at the end. */
+  /** `http://host:port`, without a trailing slash. */
   url: string;
   port: number;
   /** Closes the listening socket and every connection. */
   close(): Promise<void>;
 };
 
-/** Where an emulator listens; port 0 takes a free one. */
+/** Address that an emulator listens on; port 0 selects a free port. */
 export type ListenOptions = { host?: string; port?: number };
 
-/** Handles one request; what it throws becomes status 500. */
+/** Handles one request. */
 export type RequestListener = (
   request: IncomingMessage,
   response: ServerResponse,
 ) => void;
 
-/** Starts an HTTP server and resolves once it listens. */
+/** Starts an HTTP server; resolves once it listens. */
 export async function listen(
   listener: RequestListener,
   { host = "127.0.0.1", port = 0 }: ListenOptions,
 ): Promise<EmulatedServer> {
   const server = createServer(listener);
-  await listening(server, host, port);
+  await startListening(server, host, port);
   const address = server.address() as AddressInfo;
   return {
     url: `http://${host}:${address.port}`,
@@ -36,7 +39,11 @@
   };
 }
 
-function listening(server: Server, host: string, port: number): Promise<void> {
+function startListening(
+  server: Server,
+  host: string,
+  port: number,
+): Promise<void> {
   return new Promise((resolve, reject) => {
     server.once("error", reject);
     server.listen(port, host, () => {
--- a/packages/emulator/src/server/http_messages.ts
+++ b/packages/emulator/src/server/http_messages.ts
@@ -1,9 +1,12 @@
-/** Reading requests and writing answers of the emulators. @module */
+/**
+ * Reads the requests and writes the responses of the emulated servers.
+ * @module
+ */
 import { Buffer } from "node:buffer";
 import type { IncomingMessage, ServerResponse } from "node:http";
 
-/** Reads a request's whole body as text. */
-export async function readText(request: IncomingMessage): Promise<string> {
+/** Reads the whole body of a request as UTF-8 text. */
+export async function readBody(request: IncomingMessage): Promise<string> {
   const chunks: Uint8Array[] = [];
   for await (const chunk of request) {
     chunks.push(chunk as Uint8Array);
@@ -11,7 +14,7 @@
   return Buffer.concat(chunks).toString("utf8");
 }
 
-/** Parses JSON; `undefined` when the text is none. */
+/** Parses JSON; returns `undefined` if the text is not valid JSON. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
@@ -20,7 +23,7 @@
   }
 }
 
-/** Answers with a JSON document. */
+/** Sends a response with a JSON body. */
 export function sendJson(
   response: ServerResponse,
   status: number,
@@ -34,8 +37,14 @@
   response.end(body);
 }
 
-/** Sends a truthful length and half of the body, then drops the connection. */
-export function sendCutJson(response: ServerResponse, document: unknown): void {
+/**
+ * Sends the full content length but only half of the body, then closes the
+ * connection.
+ */
+export function sendTruncatedJson(
+  response: ServerResponse,
+  document: unknown,
+): void {
   const body = Buffer.from(JSON.stringify(document));
   response.writeHead(200, {
     "content-type": "application/json",
@@ -47,8 +56,11 @@
   );
 }
 
-/** Runs an asynchronous handler; what it throws becomes status 500. */
-export function handle(
+/**
+ * Wraps an asynchronous handler. If it fails, the response is a status 500, or
+ * is cut if its headers are sent already.
+ */
+export function toRequestListener(
   handler: (
     request: IncomingMessage,
     response: ServerResponse,
--- a/packages/emulator/test/batch_test.ts
+++ b/packages/emulator/test/batch_test.ts
@@ -10,8 +10,11 @@
   prefillTokensPerStep: 100,
 };
 
-function sequence(prefillLeft: number, outputLeft: number) {
-  return { prefillLeft, outputLeft, onToken: () => {} };
+function sequence(
+  remainingPrefillTokens: number,
+  remainingOutputTokens: number,
+) {
+  return { remainingPrefillTokens, remainingOutputTokens, onToken: () => {} };
 }
 
 t.test("a step takes longer the more sequences decode", (t) => {
@@ -24,7 +27,7 @@
   t.end();
 });
 
-t.test("prefill is spread over steps and delays the others", (t) => {
+t.test("prefill is spread over several steps and delays the decoding sequences", (t) => {
   const batch = new Batch({ ...SETTINGS, speed: 2 });
   batch.add(sequence(0, 9));
   batch.add(sequence(150, 9));
@@ -35,7 +38,7 @@
   t.end();
 });
 
-t.test("sequences over the limit wait", (t) => {
+t.test("sequences over the limit wait for a free slot", (t) => {
   const batch = new Batch(SETTINGS);
   [1, 1, 1].forEach((tokens) => batch.add(sequence(0, tokens)));
   t.equal(batch.step(1).decoded.length, 2);
--- a/packages/emulator/test/engine_test.ts
+++ b/packages/emulator/test/engine_test.ts
@@ -24,11 +24,11 @@
     .map((event) => event.replace(/^data: /, ""));
 }
 
-t.test("plain answer is whole and carries usage", async (t) => {
+t.test("a response that is not streamed is complete and states its usage", async (t) => {
   const engine = await startEngine({ settings: FAST });
   t.teardown(() => engine.close());
-  const answer = await complete(engine, { prompt: "#a1# hi", max_tokens: 5 });
-  const document = await answer.body.json() as {
+  const response = await complete(engine, { prompt: "#a1# hi", max_tokens: 5 });
+  const document = await response.body.json() as {
     choices: { message: { content: string } }[];
     usage: unknown;
   };
@@ -37,16 +37,16 @@
   t.match(engine.records, [{ marker: "a1", outcome: "finished" }]);
 });
 
-t.test("streamed answer ends with usage and [DONE]", async (t) => {
+t.test("a streamed response ends with usage and [DONE]", async (t) => {
   const engine = await startEngine({ settings: FAST });
   t.teardown(() => engine.close());
-  const answer = await complete(engine, {
+  const response = await complete(engine, {
     prompt: "#a2#",
     max_tokens: 3,
     stream: true,
     stream_options: { include_usage: true },
   });
-  const all = events(await answer.body.text());
+  const all = events(await response.body.text());
   t.equal(all.pop(), "[DONE]");
   const parsed = all.map((event) => JSON.parse(event));
   const text = parsed.map((event) => event.choices[0]?.delta.content ?? "");
@@ -54,7 +54,7 @@
   t.equal(parsed.at(-1).usage.completion_tokens, 3);
 });
 
-t.test("a shared prefix is cached", async (t) => {
+t.test("a prompt reuses the cached prefix of an earlier one", async (t) => {
   const engine = await startEngine({ settings: FAST });
   t.teardown(() => engine.close());
   const prompt = "x".repeat(1000);
@@ -64,7 +64,7 @@
   t.equal(engine.records[1]?.cachedTokens, 240);
 });
 
-t.test("a cut stream ends as an error", async (t) => {
+t.test("a response cut by a fault ends with an error at the caller", async (t) => {
   const engine = await startEngine({ settings: FAST });
   t.teardown(() => engine.close());
   engine.setFaults({ cutAfterTokens: 2 });
@@ -76,7 +76,7 @@
   t.match(engine.records, [{ outcome: "failed" }, { outcome: "failed" }]);
 });
 
-t.test("a crash marker drops the server", async (t) => {
+t.test("a request with a crash marker stops the server", async (t) => {
   const engine = await startEngine({ settings: FAST });
   t.teardown(() => engine.close());
   engine.setFaults({ crashMarkers: ["bad"] });
@@ -84,23 +84,23 @@
   await t.rejects(complete(engine, { prompt: "#good#" }));
 });
 
-t.test("a caller that leaves is recorded as cancelled", async (t) => {
+t.test("a request whose caller disconnects is recorded as cancelled", async (t) => {
   const engine = await startEngine({ settings: FAST });
   t.teardown(() => engine.close());
-  const answer = await complete(engine, {
+  const response = await complete(engine, {
     prompt: "#a4#",
     max_tokens: 1_000_000,
     stream: true,
   });
-  await once(answer.body, "readable");
-  answer.body.destroy();
+  await once(response.body, "readable");
+  response.body.destroy();
   while (engine.records[0]?.outcome === "running") {
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
   t.equal(engine.records[0]?.outcome, "cancelled");
 });
 
-t.test("faults over HTTP are checked", async (t) => {
+t.test("PUT /faults rejects invalid faults and applies valid ones", async (t) => {
   const engine = await startEngine({ settings: FAST });
   t.teardown(() => engine.close());
   const put = (body: string) =>
@@ -110,11 +110,11 @@
     errorRates: [{ route: "POST /v1/chat/completions", rate: 1, status: 503 }],
   };
   t.equal((await put(JSON.stringify(failing))).statusCode, 200);
-  const answer = await complete(engine, { prompt: "hi" });
-  t.equal(answer.statusCode, 503);
+  const response = await complete(engine, { prompt: "hi" });
+  t.equal(response.statusCode, 503);
 });
 
-t.test("each answer states a limit while one is switched on", async (t) => {
+t.test("each response states a limit while the fault is active", async (t) => {
   const engine = await startEngine({ settings: FAST });
   t.teardown(() => engine.close());
   const limitOf = async (stream: boolean) => {
--- a/packages/emulator/test/load_test.ts
+++ b/packages/emulator/test/load_test.ts
@@ -1,10 +1,10 @@
 import t from "tap";
 import { parseMix, runLoad, startEngine } from "../src/mod.ts";
-import { loadTarget } from "../src/load/load_target.ts";
+import { parseLoadTarget } from "../src/load/load_target.ts";
 import { pickPart } from "../src/load/mix.ts";
 
-t.test("only loopback is a target", (t) => {
-  t.equal(loadTarget("http://127.0.0.1:80/"), "http://127.0.0.1");
+t.test("a load target must be a loopback address", (t) => {
+  t.equal(parseLoadTarget("http://127.0.0.1:80/"), "http://127.0.0.1");
   for (
     const target of [
       "http://10.0.0.1",
@@ -13,12 +13,12 @@
       "https://127.0.0.1",
     ]
   ) {
-    t.throws(() => loadTarget(target), /loopback only/);
+    t.throws(() => parseLoadTarget(target), /loopback only/);
   }
   t.end();
 });
 
-t.test("a mix is read and drawn by weight", (t) => {
+t.test("a mix is parsed and its parts are picked by weight", (t) => {
   const mix = parseMix("chat/urgent=1,booking=3");
   t.same(mix, [
     { kind: "chat", tier: "urgent", weight: 1 },
@@ -30,7 +30,7 @@
   t.end();
 });
 
-t.test("a load counts every answer", async (t) => {
+t.test("a load counts every response", async (t) => {
   const engine = await startEngine({ settings: { speed: 100 } });
   t.teardown(() => engine.close());
   const summaries = await runLoad({
--- a/packages/emulator/test/plain_service_test.ts
+++ b/packages/emulator/test/plain_service_test.ts
@@ -2,16 +2,16 @@
 import { request } from "undici";
 import { startPlainService } from "../src/mod.ts";
 
-t.test("a booking is made and read back", async (t) => {
+t.test("a booking is created and can be read", async (t) => {
   const service = await startPlainService();
   t.teardown(() => service.close());
-  const made = await request(`${service.url}/bookings`, {
+  const created = await request(`${service.url}/bookings`, {
     method: "POST",
     headers: { "idempotency-key": "k1" },
     body: JSON.stringify({ slot: "nine", note: "#b1#" }),
   });
-  t.equal(made.statusCode, 201);
-  const booking = await made.body.json();
+  t.equal(created.statusCode, 201);
+  const booking = await created.body.json();
   t.match(booking, { id: 1, marker: "b1", details: { slot: "nine" } });
   const read = await request(`${service.url}/bookings/1`);
   t.same(await read.body.json(), booking);
@@ -21,14 +21,14 @@
   ]);
 });
 
-t.test("sent twice, it books twice", async (t) => {
+t.test("a booking that is sent twice creates two bookings", async (t) => {
   const service = await startPlainService();
   t.teardown(() => service.close());
   const options = { method: "POST", body: "{}" } as const;
   const ids = [];
   for (let call = 0; call < 2; call++) {
-    const answer = await request(`${service.url}/bookings`, options);
-    ids.push((await answer.body.json() as { id: number }).id);
+    const response = await request(`${service.url}/bookings`, options);
+    ids.push((await response.body.json() as { id: number }).id);
   }
   t.same(ids, [1, 2]);
 });
--- a/packages/emulator/test/platform/instance_list_service_test.ts
+++ b/packages/emulator/test/platform/instance_list_service_test.ts
@@ -1,7 +1,7 @@
 import { HttpInstanceList } from "@sycamorepulley/store";
 import type { Instance } from "@sycamorepulley/store";
 import t from "tap";
-import { LaggingInstances } from "../../src/platform/lagging_instances.ts";
+import { LaggingInstanceList } from "../../src/platform/lagging_instance_list.ts";
 import { startInstanceList } from "../../src/platform/mod.ts";
 
 const instance: Instance = {
@@ -27,24 +27,24 @@
   t.match(await list.list(), { value: [] });
 });
 
-t.test("new and leaving instances show late", (t) => {
-  const instances = new LaggingInstances();
-  const seenAt = (now: number) => instances.list({ now, leaveLag: 0 });
+t.test("new, draining and deregistered instances are listed after the lag", (t) => {
+  const instances = new LaggingInstanceList();
+  const listAt = (now: number) => instances.list({ now, leaveLag: 0 });
   instances.register(instance, { now: 0, lag: 500 });
-  t.same(seenAt(499), []);
-  t.same(seenAt(500), [instance]);
-  const leaving = { ...instance, leaving: true };
-  instances.register(leaving, { now: 1000, lag: 2000 });
-  t.same(seenAt(2999), [instance]);
-  t.same(seenAt(3000), [leaving]);
+  t.same(listAt(499), []);
+  t.same(listAt(500), [instance]);
+  const draining = { ...instance, leaving: true };
+  instances.register(draining, { now: 1000, lag: 2000 });
+  t.same(listAt(2999), [instance]);
+  t.same(listAt(3000), [draining]);
   instances.deregister(instance.name, { now: 3000, lag: 1000 });
-  t.same(seenAt(3999), [leaving]);
-  t.same(seenAt(4000), []);
+  t.same(listAt(3999), [draining]);
+  t.same(listAt(4000), []);
   t.end();
 });
 
-t.test("an instance without heartbeat is dropped", (t) => {
-  const instances = new LaggingInstances();
+t.test("an instance without heartbeats is removed after the timeout", (t) => {
+  const instances = new LaggingInstanceList();
   instances.register(instance, { now: 0, lag: 0 });
   instances.register(instance, { now: 9000, lag: 0 });
   t.same(instances.list({ now: 19_000, leaveLag: 0 }), [instance]);
--- a/packages/emulator/test/platform/key_value_service_test.ts
+++ b/packages/emulator/test/platform/key_value_service_test.ts
@@ -3,23 +3,23 @@
 import type { Test } from "tap";
 import { startKeyValueStore } from "../../src/platform/mod.ts";
 
-async function started(t: Test) {
+async function startStore(t: Test) {
   const server = await startKeyValueStore();
   const store = new HttpKeyValueStore({ url: server.url, timeout: 500 });
   t.teardown(async () => {
     await store.close();
     await server.close();
   });
-  const steer = async (path: string, body: unknown = {}) => {
+  const putControl = async (path: string, body: unknown = {}) => {
     const method = "PUT";
     const url = server.url + path;
     await fetch(url, { method, body: JSON.stringify(body) });
   };
-  return { store, steer, url: server.url };
+  return { store, putControl, url: server.url };
 }
 
 t.test("swaps, reads and watches over HTTP", async (t) => {
-  const { store, url } = await started(t);
+  const { store, url } = await startStore(t);
   const key = "configuration/100%";
   const watched = store.watch({ key, after: 0, wait: 10_000 });
   const value = "ž\nvalue";
@@ -44,8 +44,8 @@
   t.match(counts, { reads: 4, writes: 3 });
 });
 
-t.test("leases are kept, lapse and take their keys along", async (t) => {
-  const { store } = await started(t);
+t.test("a revoked lease deletes its keys and is refused afterwards", async (t) => {
+  const { store } = await startStore(t);
   const lease = (await store.grantLease(60_000)).unwrapOr("");
   const key = "k";
   await store.compareAndSwap({ key, expected: 0, value: "1", lease });
@@ -62,9 +62,9 @@
   t.match(late, { error: { reason: "status", applied: "no" } });
 });
 
-t.test("a lost answer hides a write that took effect", async (t) => {
-  const { store, steer } = await started(t);
-  await steer("/faults", { lostWriteAnswers: 1 });
+t.test("a write takes effect although its response is lost", async (t) => {
+  const { store, putControl } = await startStore(t);
+  await putControl("/faults", { lostWriteAnswers: 1 });
   const swap = { key: "k", expected: 0, value: "1" };
   t.match(await store.compareAndSwap(swap), { error: { applied: "unknown" } });
   t.match(await store.get("k"), { value: { value: "1" } });
@@ -73,8 +73,8 @@
   });
 });
 
-t.test("each kind of outage leaves the state untouched", async (t) => {
-  const { store, steer } = await started(t);
+t.test("a write during any kind of outage takes no effect", async (t) => {
+  const { store, putControl } = await startStore(t);
   for (
     const [outage, applied] of [
       ["refuse", "no"],
@@ -82,19 +82,19 @@
       ["hang", "unknown"],
     ]
   ) {
-    await steer("/faults", { outage });
+    await putControl("/faults", { outage });
     const swap = { key: "k", expected: 0, value: "1" };
     t.match(await store.compareAndSwap(swap), { error: { applied } });
-    await steer("/faults", {});
+    await putControl("/faults", {});
     t.match(await store.get("k"), { value: undefined });
   }
 });
 
-t.test("a restored backup forgets newer writes", async (t) => {
-  const { store, steer } = await started(t);
+t.test("restoring a backup discards later writes", async (t) => {
+  const { store, putControl } = await startStore(t);
   await store.compareAndSwap({ key: "k", expected: 0, value: "old" });
-  await steer("/backup");
+  await putControl("/backup");
   await store.compareAndSwap({ key: "k", expected: 1, value: "new" });
-  await steer("/restore");
+  await putControl("/restore");
   t.match(await store.get("k"), { value: { value: "old", revision: 1 } });
 });
