--- a/packages/testing/src/caller/caller.ts
+++ b/packages/testing/src/caller/caller.ts
@@ -1,28 +1,28 @@
-/** A caller of an entry that records each of its calls. @module */
+/** Calls an entry and records the outcome of each call. @module */
 import { Agent, request } from "undici";
 import type { CallOutcome, CallRecord } from "../history/call_record.ts";
 import { readOutcome } from "./response_reader.ts";
 
-/** One call to make. */
+/** Options common to all calls. */
 export type Call = {
   marker: string;
   service: string;
   tier?: string;
-  /** Rank of `tier`, for the checks only. */
+  /** Rank of `tier`; only recorded for the checks, not sent. */
   tierRank?: number;
-  /** Milliseconds. */
+  /** Deadline in milliseconds. */
   deadline?: number;
   idempotencyKey?: string;
   token?: string;
-  /** Called once, when the answer's first bytes have come. */
+  /** Called once, when the first bytes of the response body arrive. */
   onFirstBytes?: () => void;
-  /** Ends the call from the caller's side. */
+  /** Aborts the call on the caller's side. */
   signal?: AbortSignal;
 };
 
 /** A call of a model engine. */
 export type ChatCall = Call & {
-  /** Text beside the marker. */
+  /** Text in front of the marker. */
   prompt?: string;
   outputTokens?: number;
   stream?: boolean;
@@ -41,7 +41,7 @@
   body: string | undefined;
 };
 
-/** Sends calls to one entry. */
+/** Sends calls to one entry and records them. */
 export class Caller {
   readonly calls: CallRecord[] = [];
   readonly #url: string;
@@ -57,7 +57,7 @@
     this.#token = token;
   }
 
-  /** Calls the service whose model is the service's name. */
+  /** Sends a chat completion to the model that is named like the service. */
   chat(call: ChatCall): Promise<CallOutcome> {
     const { prompt = "", outputTokens = 8, stream = false } = call;
     const body = {
@@ -66,17 +66,17 @@
       max_tokens: outputTokens,
       stream,
     };
-    return this.#record(call, {
+    return this.#sendAndRecord(call, {
       method: "POST",
       path: "/v1/chat/completions",
       body: JSON.stringify(body),
     });
   }
 
-  /** Calls a path of a plain service. */
+  /** Sends a request to a plain service. */
   callPlainService(call: PlainCall): Promise<CallOutcome> {
     const body = { note: `#${call.marker}#`, ...call.body };
-    return this.#record(call, {
+    return this.#sendAndRecord(call, {
       method: call.method,
       path: `/services/${call.service}${call.path}`,
       body: call.method === "GET" ? undefined : JSON.stringify(body),
@@ -87,7 +87,7 @@
     await this.#agent.destroy();
   }
 
-  async #record(call: Call, httpCall: HttpCall): Promise<CallOutcome> {
+  async #sendAndRecord(call: Call, httpCall: HttpCall): Promise<CallOutcome> {
     const sentAt = Date.now();
     const outcome = await this.#send(call, httpCall);
     const record: CallRecord = {
@@ -111,7 +111,7 @@
     try {
       const response = await request(this.#url + httpCall.path, {
         method: httpCall.method,
-        headers: this.#headers(call),
+        headers: this.#createHeaders(call),
         body: httpCall.body ?? null,
         signal: call.signal,
         dispatcher: this.#agent,
@@ -122,7 +122,7 @@
     }
   }
 
-  #headers(call: Call): Record<string, string> {
+  #createHeaders(call: Call): Record<string, string> {
     const headers: Record<string, string> = {
       "content-type": "application/json",
       "authorization": `Bearer ${call.token ?? this.#token}`,
--- a/packages/testing/src/caller/response_reader.ts
+++ b/packages/testing/src/caller/response_reader.ts
@@ -1,41 +1,47 @@
-/** Reads an entry's answer into a call's outcome. @module */
+/**
+ * Reads an entry's response and converts it to the outcome of a call.
+ * @module
+ */
 import type { Dispatcher } from "undici";
 import type { CallOutcome } from "../history/call_record.ts";
-import type { Refused } from "../history/call_record.ts";
+import type { RefusedOutcome } from "../history/call_record.ts";
 
 const END_MARKER = "[DONE]";
 
-/** Reads the answer to its end; a cut answer becomes `broken`. */
+/** Reads the response to its end; the outcome of a cut one is `broken`. */
 export async function readOutcome(
   response: Dispatcher.ResponseData,
   onFirstBytes: () => void = () => {},
 ): Promise<CallOutcome> {
-  let raw = "";
+  let body = "";
   try {
     response.body.setEncoding("utf8");
     for await (const chunk of response.body) {
-      if (raw === "") {
+      if (body === "") {
         onFirstBytes();
       }
-      raw += chunk;
+      body += chunk;
     }
   } catch (error) {
-    return { type: "broken", detail: String(error), text: raw };
+    return { type: "broken", detail: String(error), text: body };
   }
   const contentType = String(response.headers["content-type"] ?? "");
   if (contentType.startsWith("application/problem+json")) {
-    return refusal(response, raw);
+    return parseRefusal(response, body);
   }
   const status = response.statusCode;
   if (contentType.startsWith("text/event-stream")) {
-    return { type: "answered", status, ...readEvents(raw) };
+    return { type: "answered", status, ...parseEvents(body) };
   }
-  return { type: "answered", status, text: contentOf(raw), ended: true };
+  return { type: "answered", status, text: messageContent(body), ended: true };
 }
 
-function refusal(response: Dispatcher.ResponseData, raw: string): Refused {
-  const problem = JSON.parse(raw) as Pick<Refused, "reason" | "ran">;
-  const refused: Refused = {
+function parseRefusal(
+  response: Dispatcher.ResponseData,
+  body: string,
+): RefusedOutcome {
+  const problem = JSON.parse(body) as Pick<RefusedOutcome, "reason" | "ran">;
+  const refused: RefusedOutcome = {
     type: "refused",
     status: response.statusCode,
     reason: problem.reason,
@@ -48,21 +54,21 @@
   return refused;
 }
 
-function readEvents(raw: string): { text: string; ended: boolean } {
+function parseEvents(body: string): { text: string; ended: boolean } {
   let text = "";
   let ended = false;
-  for (const event of raw.split("\n\n")) {
+  for (const event of body.split("\n\n")) {
     const data = event.replace(/^data: /, "");
     if (data === END_MARKER) {
       ended = true;
     } else if (data !== "") {
-      text += deltaOf(data);
+      text += deltaContent(data);
     }
   }
   return { text, ended };
 }
 
-function deltaOf(data: string): string {
+function deltaContent(data: string): string {
   try {
     const event = JSON.parse(data) as {
       choices?: { delta?: { content?: string } }[];
@@ -73,13 +79,13 @@
   }
 }
 
-function contentOf(raw: string): string {
+function messageContent(body: string): string {
   try {
-    const document = JSON.parse(raw) as {
+    const document = JSON.parse(body) as {
       choices?: { message?: { content?: string } }[];
     };
-    return document.choices?.[0]?.message?.content ?? raw;
+    return document.choices?.[0]?.message?.content ?? body;
   } catch {
-    return raw;
+    return body;
   }
 }
--- a/packages/testing/src/checks/dispatched_once.ts
+++ b/packages/testing/src/checks/dispatched_once.ts
@@ -1,10 +1,11 @@
-/** A request is dispatched at most once. @module */
+/** Checks that a request is dispatched at most once. @module */
 import type { RunRecord } from "../history/run_record.ts";
 import type { Violation } from "./violation.ts";
 
 /**
- * Finds markers that backend servers saw more than once. Resends that may run
- * again carry a marker of their own; resends with an idempotency key keep it.
+ * Finds markers that backend servers have seen more than once. A retry that may
+ * run again must have a marker of its own; a retry with an idempotency key
+ * keeps the marker.
  */
 export function checkDispatchedOnce(runs: RunRecord[]): Violation[] {
   const violations: Violation[] = [];
--- a/packages/testing/src/checks/not_run_refusals.ts
+++ b/packages/testing/src/checks/not_run_refusals.ts
@@ -1,27 +1,31 @@
-/** A refusal that says "not run" is true. @module */
+/** Checks that a refusal that says "not run" is right. @module */
 import type { CallRecord } from "../history/call_record.ts";
 import type { RunRecord } from "../history/run_record.ts";
 import type { Violation } from "./violation.ts";
 
 /**
- * Finds requests that ran although every answer said that they had not. The
- * runs must have been read after the last call ended and the servers were idle,
- * else a run that starts later is missed.
+ * Finds requests that ran although every response said that they had not. The
+ * runs must be read after the last call has ended and the servers are idle,
+ * otherwise a run that starts later is missed.
  */
 export function checkNotRunRefusals(
   calls: CallRecord[],
   runs: RunRecord[],
 ): Violation[] {
-  const ran = new Map(runs.map((run) => [run.marker, run.server]));
+  const serversByMarker = new Map(runs.map((run) => [run.marker, run.server]));
   const possiblyRun = new Set(
     calls.filter((call) => !saysNotRun(call)).map((call) => call.marker),
   );
   return calls
-    .filter(({ marker }) => ran.has(marker) && !possiblyRun.has(marker))
+    .filter(({ marker }) =>
+      serversByMarker.has(marker) && !possiblyRun.has(marker)
+    )
     .map(({ marker }) => ({
-      check: "not-run truth",
+      check: "not-run refusals",
       marker,
-      detail: `refused as not run, yet ${ran.get(marker)} started it`,
+      detail: `refused as not run, but ${
+        serversByMarker.get(marker)
+      } started it`,
     }));
 }
 
--- a/packages/testing/src/checks/shed_order.ts
+++ b/packages/testing/src/checks/shed_order.ts
@@ -1,9 +1,9 @@
-/** A higher tier is never shed before a lower one. @module */
+/** Checks that a higher tier is never shed before a lower one. @module */
 import type { CallRecord } from "../history/call_record.ts";
 import type { RunRecord } from "../history/run_record.ts";
 import type { Violation } from "./violation.ts";
 
-/** Refusals for want of room; other refusals shed nothing. */
+/** Reasons of refusals for lack of capacity; other reasons do not shed load. */
 export const SHEDDING_REASONS: ReadonlySet<string> = new Set([
   "queue_full",
   "evicted",
@@ -13,9 +13,10 @@
 ]);
 
 /**
- * Finds calls that were shed while a less urgent call of the same service
- * waited through all of their time. `slack` milliseconds allow for messages on
- * their way. The clocks of callers and servers must be the same.
+ * Finds calls that were shed although a call of the same service with a lower
+ * tier was waiting during the whole call. `slack` is a tolerance in
+ * milliseconds for messages in transit. Callers and servers must use the same
+ * clock.
  */
 export function checkShedOrder(
   calls: CallRecord[],
@@ -26,17 +27,17 @@
   const waitedUntil = (call: CallRecord) =>
     startedAt.get(call.marker) ?? call.endedAt;
   return calls.filter(wasShed).flatMap((shed) => {
-    const spared = calls.find((other) =>
+    const lowerRanked = calls.find((other) =>
       other.service === shed.service &&
       rankOf(other) > rankOf(shed) &&
       other.sentAt + slack <= shed.sentAt &&
       waitedUntil(other) >= shed.endedAt + slack
     );
-    return spared === undefined ? [] : [{
+    return lowerRanked === undefined ? [] : [{
       check: "order of shedding",
       marker: shed.marker,
-      detail: `shed with rank ${rankOf(shed)} while ${spared.marker} ` +
-        `of rank ${rankOf(spared)} waited`,
+      detail: `shed with rank ${rankOf(shed)} while ${lowerRanked.marker} ` +
+        `of rank ${rankOf(lowerRanked)} waited`,
     }];
   });
 }
--- a/packages/testing/src/checks/violation.ts
+++ b/packages/testing/src/checks/violation.ts
@@ -1,6 +1,6 @@
-/** What a check found wrong in a history. @module */
+/** A violation that a check has found in a history. @module */
 
-/** One broken promise. */
+/** A guarantee that does not hold for one request. */
 export type Violation = {
   check: string;
   marker: string;
--- a/packages/testing/src/demo/counters.ts
+++ b/packages/testing/src/demo/counters.ts
@@ -1,11 +1,11 @@
-/** The counters of the demonstration's daemons. @module */
+/** Prints the counters of the demonstration's daemons. @module */
 import type { DaemonProcess } from "../fleet/daemon_process.ts";
 import type { Fleet } from "../fleet/fleet.ts";
 import { printStep } from "./print.ts";
 
-const OWN_COUNTER = /^sycamorepulley_\w+_total(\{|$)/;
+const PROJECT_COUNTER = /^sycamorepulley_\w+_total(\{|$)/;
 
-/** Prints every counter of the project's own that is not 0. */
+/** Prints each counter with the prefix `sycamorepulley_` that is not 0. */
 export async function showCounters(fleet: Fleet): Promise<void> {
   for (const entry of fleet.entries) {
     await showDaemon(entry);
@@ -20,7 +20,7 @@
     `Counters of ${daemon.settings.instance} (${daemon.statusUrl}/metrics):`,
   );
   for (const [name, value] of await daemon.metrics()) {
-    if (OWN_COUNTER.test(name)) {
+    if (PROJECT_COUNTER.test(name)) {
       console.log(`  ${name} ${value}`);
     }
   }
--- a/packages/testing/src/demo/demo_fleet.ts
+++ b/packages/testing/src/demo/demo_fleet.ts
@@ -1,7 +1,7 @@
-/** What the demonstration starts. @module */
+/** The fleet of the demonstration. @module */
 import type { FleetOptions } from "../fleet/fleet.ts";
 
-/** Two entries, three engines of unlike speed, two booking services. */
+/** Two entries, three engines of different speeds and two booking services. */
 export const DEMO_FLEET: FleetOptions = {
   entries: 2,
   backends: [
--- a/packages/testing/src/demo/main.ts
+++ b/packages/testing/src/demo/main.ts
@@ -1,4 +1,8 @@
-/** `npm run demo`: a small fleet on loopback and a request of each kind. @module */
+/**
+ * `npm run demo`: starts a small fleet on loopback and sends a request of each
+ * kind.
+ * @module
+ */
 import { once } from "node:events";
 import process from "node:process";
 import { Fleet } from "../fleet/fleet.ts";
@@ -7,7 +11,7 @@
 import { printHowToCall, printProcesses } from "./print.ts";
 import { showRequests } from "./requests.ts";
 
-const keep = process.argv.includes("--keep");
+const keepRunning = process.argv.includes("--keep");
 const interrupted = Promise.race([
   once(process, "SIGINT"),
   once(process, "SIGTERM"),
@@ -16,19 +20,21 @@
 console.log("Starting the fleet on 127.0.0.1 …");
 const fleet = await Fleet.start(DEMO_FLEET);
 try {
-  await Promise.race([show(), interrupted]);
+  await Promise.race([runDemonstration(), interrupted]);
 } finally {
-  console.log("\nStopping: entries first, then sidecars, then the others …");
+  console.log(
+    "\nStopping the entries, then the sidecars, then the other processes …",
+  );
   await fleet.shutDown();
 }
-console.log("All processes have ended.");
+console.log("All processes have exited.");
 process.exit();
 
-async function show(): Promise<void> {
+async function runDemonstration(): Promise<void> {
   printProcesses(fleet);
   await showRequests(fleet);
   await showCounters(fleet);
-  if (keep) {
+  if (keepRunning) {
     printHowToCall(fleet);
     await interrupted;
   }
--- a/packages/testing/src/demo/print.ts
+++ b/packages/testing/src/demo/print.ts
@@ -1,11 +1,12 @@
-/** What the demonstration prints about itself. @module */
+/** Prints the progress of the demonstration. @module */
 import { EXAMPLE_TOKEN } from "../fleet/example_objects.ts";
 import type { Fleet } from "../fleet/fleet.ts";
 import type { CallOutcome } from "../history/call_record.ts";
 
-const TEXT_SHOWN = 56;
+/** Characters of a response that are printed. */
+const MAX_TEXT_LENGTH = 56;
 
-/** The processes and where they listen. */
+/** Prints the processes and their URLs. */
 export function printProcesses(fleet: Fleet): void {
   printProcess("key-value service", fleet.keyValueStore.url);
   printProcess("instance list", fleet.instanceList.url);
@@ -17,16 +18,16 @@
   }
 }
 
-function printProcess(name: string, place: string): void {
-  console.log(`  ${name.padEnd(18)} ${place}`);
+function printProcess(name: string, location: string): void {
+  console.log(`  ${name.padEnd(18)} ${location}`);
 }
 
-/** A heading of one step. */
+/** Prints the heading of a step. */
 export function printStep(text: string): void {
   console.log(`\n${text}`);
 }
 
-/** What came back, and which server ran it. */
+/** Prints the outcome of a call and which server ran it. */
 export function printOutcome(outcome: CallOutcome, ranOn: string): void {
   console.log(`  -> ${describe(outcome)}; ${ranOn}`);
 }
@@ -49,12 +50,12 @@
 
 function shorten(text: string): string {
   const trimmed = text.trim();
-  return trimmed.length > TEXT_SHOWN
-    ? `${trimmed.slice(0, TEXT_SHOWN)} …`
+  return trimmed.length > MAX_TEXT_LENGTH
+    ? `${trimmed.slice(0, MAX_TEXT_LENGTH)} …`
     : trimmed;
 }
 
-/** A command to paste, for as long as the fleet runs. */
+/** Prints a command that calls the running fleet. */
 export function printHowToCall(fleet: Fleet): void {
   const url = fleet.entries[0]?.url;
   console.log(`
--- a/packages/testing/src/demo/requests.ts
+++ b/packages/testing/src/demo/requests.ts
@@ -1,31 +1,32 @@
-/** The requests of the demonstration, one of each kind. @module */
+/** Sends the requests of the demonstration, one of each kind. @module */
 import type { Caller } from "../caller/caller.ts";
 import type { Fleet } from "../fleet/fleet.ts";
 import type { CallOutcome } from "../history/call_record.ts";
 import { printOutcome, printStep } from "./print.ts";
 
-const BURST = 30;
+const BURST_SIZE = 30;
 
-/** Sends them and prints what came back. */
+/** Sends the requests and prints their outcomes. */
 export async function showRequests(fleet: Fleet): Promise<void> {
   const caller = fleet.caller(fleet.entries[0]);
-  const other = fleet.caller(fleet.entries[1]);
+  const otherCaller = fleet.caller(fleet.entries[1]);
 
-  printStep("A chat completion, answered whole:");
-  await show(
+  printStep("A chat completion that is not streamed:");
+  await sendAndPrint(
     fleet,
     "chat",
     (marker) => caller.chat({ marker, service: "assistant", tier: "urgent" }),
   );
 
-  printStep("The same, streamed, by the other entry:");
-  await show(
+  printStep("A streamed chat completion, through the other entry:");
+  await sendAndPrint(
     fleet,
     "stream",
-    (marker) => other.chat({ marker, service: "assistant", stream: true }),
+    (marker) =>
+      otherCaller.chat({ marker, service: "assistant", stream: true }),
   );
 
-  await showBooking(fleet, caller, other);
+  await showBooking(fleet, caller, otherCaller);
   await showRefusals(fleet, caller);
   await showBurst(fleet, caller);
 }
@@ -33,7 +34,7 @@
 async function showBooking(
   fleet: Fleet,
   caller: Caller,
-  other: Caller,
+  otherCaller: Caller,
 ): Promise<void> {
   const booking = {
     service: "bookings",
@@ -42,37 +43,39 @@
     body: { slot: "nine" },
     idempotencyKey: "booking-of-nine",
   } as const;
-  printStep("A booking, which must not run twice, with an Idempotency-Key:");
-  await show(
+  printStep("A booking, which is not idempotent, with an Idempotency-Key:");
+  await sendAndPrint(
     fleet,
     "booking",
     (marker) => caller.callPlainService({ marker, ...booking }),
   );
-  printStep("Sent again through the other entry, as an unsure caller would:");
-  await show(
+  printStep(
+    "The same booking again, through the other entry, as a caller retries it:",
+  );
+  await sendAndPrint(
     fleet,
     "booking",
-    (marker) => other.callPlainService({ marker, ...booking }),
+    (marker) => otherCaller.callPlainService({ marker, ...booking }),
   );
 }
 
 async function showRefusals(fleet: Fleet, caller: Caller): Promise<void> {
   printStep("Refused: a booking without an Idempotency-Key:");
-  await show(fleet, "unkeyed", (marker) =>
+  await sendAndPrint(fleet, "unkeyed", (marker) =>
     caller.callPlainService({
       marker,
       service: "bookings",
       method: "POST",
       path: "/bookings",
     }));
-  printStep("Refused: an answer wanted within 5 ms:");
-  await show(
+  printStep("Refused: a chat completion with a deadline of 5 ms:");
+  await sendAndPrint(
     fleet,
     "hurried",
     (marker) => caller.chat({ marker, service: "assistant", deadline: 5 }),
   );
-  printStep("Refused: a service that nobody has configured:");
-  await show(
+  printStep("Refused: a model that is not configured:");
+  await sendAndPrint(
     fleet,
     "unknown",
     (marker) => caller.chat({ marker, service: "no-such-model" }),
@@ -80,36 +83,41 @@
 }
 
 async function showBurst(fleet: Fleet, caller: Caller): Promise<void> {
-  printStep(`A burst of ${BURST} chats; slow engines take fewer:`);
-  const markers = Array.from({ length: BURST }, (_, index) => `burst-${index}`);
+  printStep(
+    `A burst of ${BURST_SIZE} chat completions; slower engines run fewer:`,
+  );
+  const markers = Array.from(
+    { length: BURST_SIZE },
+    (_, index) => `burst-${index}`,
+  );
   const outcomes = await Promise.all(
     markers.map((marker) => caller.chat({ marker, service: "assistant" })),
   );
   const answered = outcomes.filter(({ type }) => type === "answered").length;
-  console.log(`  -> ${answered} of ${BURST} answered`);
+  console.log(`  -> ${answered} of ${BURST_SIZE} answered`);
   const runs = await fleet.runs();
-  for (const { server, options } of assistants(fleet, runs)) {
-    console.log(`     ${server}: speed ${options}`);
+  for (const { server, summary } of countBurstByAssistant(fleet, runs)) {
+    console.log(`     ${server}: speed ${summary}`);
   }
 }
 
-function assistants(
+function countBurstByAssistant(
   fleet: Fleet,
   runs: { server: string; marker?: string | undefined }[],
-): { server: string; options: string }[] {
+): { server: string; summary: string }[] {
   const speeds = new Map(
-    fleet.backends.filter(({ backend }) => backend.kind === "model")
-      .map(({ backend, name }) => [name, backend.options?.["speed"]]),
+    fleet.backends.filter(({ options }) => options.kind === "model")
+      .map(({ options, name }) => [name, options.options?.["speed"]]),
   );
   return [...speeds].map(([server, speed]) => {
     const count = runs.filter((run) =>
       run.server === server && run.marker?.startsWith("burst")
     ).length;
-    return { server, options: `${speed}, ran ${count}` };
+    return { server, summary: `${speed}, ran ${count}` };
   });
 }
 
-async function show(
+async function sendAndPrint(
   fleet: Fleet,
   marker: string,
   send: (marker: string) => Promise<CallOutcome>,
--- a/packages/testing/src/fleet/daemon_process.ts
+++ b/packages/testing/src/fleet/daemon_process.ts
@@ -1,4 +1,4 @@
-/** A daemon as a process. @module */
+/** Runs a daemon as a process. @module */
 import { request } from "undici";
 import type { Dispatcher } from "undici";
 import { LaunchedProcess } from "../process/launched_process.ts";
@@ -7,10 +7,10 @@
 import { waitFor } from "../process/wait_for.ts";
 import type { DaemonSettings } from "./daemon_settings.ts";
 
-/** Milliseconds until a daemon that does not answer fails the test. */
+/** Milliseconds after which a daemon that does not respond fails the test. */
 const STATUS_TIMEOUT = 10_000;
 
-/** A launched daemon that listens. */
+/** A launched daemon that is listening. */
 export class DaemonProcess {
   readonly process: LaunchedProcess;
   readonly settings: DaemonSettings;
@@ -41,39 +41,39 @@
     return new DaemonProcess(process, settings, ports);
   }
 
-  /** URL for callers of an entry. */
+  /** URL of an entry for its callers. */
   get url(): string {
-    return this.#urlOf("httpPort");
+    return this.#urlOfPort("httpPort");
   }
 
-  /** URL of `/metrics`, `/healthz`, `/readyz` and `/status`. */
+  /** Base URL of `/metrics`, `/healthz`, `/readyz` and `/status`. */
   get statusUrl(): string {
-    return this.#urlOf("statusPort");
+    return this.#urlOfPort("statusPort");
   }
 
   get protocolPort(): number {
     return Number(this.#ports["protocolPort"]);
   }
 
-  /** Waits until the daemon says that it can serve. */
+  /** Waits until `/readyz` reports that the daemon is ready. */
   async waitUntilReady(): Promise<void> {
     await waitFor(`${this.settings.instance} to be ready`, async () => {
-      const answer = await this.#get("readyz");
-      await answer.body.dump();
-      return answer.statusCode === 200;
+      const response = await this.#get("readyz");
+      await response.body.dump();
+      return response.statusCode === 200;
     });
   }
 
-  /** What `/status` says. */
+  /** Returns the document of `/status`. */
   async status(): Promise<Record<string, unknown>> {
-    const answer = await this.#get("status");
-    return await answer.body.json() as Record<string, unknown>;
+    const response = await this.#get("status");
+    return await response.body.json() as Record<string, unknown>;
   }
 
-  /** The metrics whose values are not 0, by name and labels. */
+  /** Returns the values of all metrics that are not 0, by name and labels. */
   async metrics(): Promise<Map<string, number>> {
-    const answer = await this.#get("metrics");
-    return parseMetrics(await answer.body.text());
+    const response = await this.#get("metrics");
+    return parseMetrics(await response.body.text());
   }
 
   #get(path: string): Promise<Dispatcher.ResponseData> {
@@ -83,12 +83,12 @@
     });
   }
 
-  #urlOf(port: string): string {
+  #urlOfPort(port: string): string {
     return `http://127.0.0.1:${this.#ports[port]}`;
   }
 }
 
-/** Starts a daemon without waiting for anything. */
+/** Starts a daemon without waiting until it listens. */
 export function launchDaemon(settingsFile: string): LaunchedProcess {
   return new LaunchedProcess("sycamorepulleyd", [
     DAEMON_PROGRAM,
--- a/packages/testing/src/fleet/daemon_settings.ts
+++ b/packages/testing/src/fleet/daemon_settings.ts
@@ -1,9 +1,9 @@
-/** Settings files of daemons as tests write them. @module */
+/** Settings of the daemons that tests launch. @module */
 
-/** Where a daemon listens; port 0 takes a free one. */
+/** Address that a daemon listens on; port 0 selects a free port. */
 export type ListenSettings = { host: string; port: number };
 
-/** URLs of the platform's services. */
+/** URLs of the platform services. */
 export type PlatformSettings = { keyValueStore: string; instanceList: string };
 
 type CommonSettings = {
@@ -13,7 +13,7 @@
   status: ListenSettings;
   protocol: ListenSettings;
   platform: PlatformSettings;
-  /** Milliseconds that a stopping daemon keeps listening. */
+  /** Milliseconds that a daemon keeps listening after the signal to stop. */
   shutdownLag: number;
 };
 
@@ -23,7 +23,7 @@
   http: ListenSettings;
 };
 
-/** The server beside a sidecar. */
+/** The backend server of a sidecar. */
 export type BackendServerSettings = {
   url: string;
   service: string;
@@ -41,7 +41,10 @@
 /** Settings of a daemon in either role. */
 export type DaemonSettings = EntrySettings | SidecarSettings;
 
-/** Short, for nothing balances load in front of a test's entries. */
+/**
+ * Milliseconds; short, because tests have no load balancer in front of the
+ * entries.
+ */
 const SHUTDOWN_LAG = 100;
 const LOOPBACK: ListenSettings = { host: "127.0.0.1", port: 0 };
 
@@ -60,7 +63,7 @@
   };
 }
 
-/** An entry on free ports of 127.0.0.1. */
+/** Creates settings of an entry on free ports of 127.0.0.1. */
 export function entrySettings(
   instance: string,
   platform: PlatformSettings,
@@ -72,7 +75,7 @@
   };
 }
 
-/** A sidecar on free ports of 127.0.0.1. */
+/** Creates settings of a sidecar on free ports of 127.0.0.1. */
 export function sidecarSettings(
   instance: string,
   platform: PlatformSettings,
--- a/packages/testing/src/fleet/emulated_process.ts
+++ b/packages/testing/src/fleet/emulated_process.ts
@@ -1,4 +1,4 @@
-/** An emulated server as a process. @module */
+/** Runs an emulated server as a process. @module */
 import type { FaultsInput, HistoryRecord } from "@sycamorepulley/emulator";
 import { request } from "undici";
 import { LaunchedProcess } from "../process/launched_process.ts";
@@ -11,10 +11,10 @@
   | "key-value-store"
   | "instance-list";
 
-/** Options of an emulator, named as its settings. */
+/** Options of an emulator, under the names of its settings. */
 export type EmulatorOptions = Record<string, string | number>;
 
-/** A launched emulator that listens. */
+/** A launched emulator that is listening. */
 export class EmulatedProcess {
   readonly process: LaunchedProcess;
   readonly url: string;
@@ -33,40 +33,40 @@
       EMULATOR_PROGRAM,
       emulator,
       ...Object.entries(options).map(([name, value]) =>
-        `--${hyphenated(name)}=${value}`
+        `--${toKebabCase(name)}=${value}`
       ),
     ]);
     const ready = await process.waitForMessage("ready");
     return new EmulatedProcess(process, String(ready["url"]));
   }
 
-  /** Requests that a backend server has seen. */
+  /** Returns the history of a backend server. */
   async records(): Promise<HistoryRecord[]> {
-    const answer = await request(`${this.url}/history`);
-    const { records } = await answer.body.json() as {
+    const response = await request(`${this.url}/history`);
+    const { records } = await response.body.json() as {
       records: HistoryRecord[];
     };
     return records;
   }
 
-  /** Sets a backend server's faults. */
+  /** Replaces the faults of a backend server. */
   async setFaults(faults: FaultsInput): Promise<void> {
     await this.putFaults(faults);
   }
 
-  /** Replaces the fault switches of any emulator. */
+  /** Replaces the faults of any emulator. */
   async putFaults(faults: Record<string, unknown>): Promise<void> {
-    const answer = await request(`${this.url}/faults`, {
+    const response = await request(`${this.url}/faults`, {
       method: "PUT",
       body: JSON.stringify(faults),
     });
-    const text = await answer.body.text();
-    if (answer.statusCode !== 200) {
-      throw new Error(`faults were not taken: ${text}`);
+    const text = await response.body.text();
+    if (response.statusCode !== 200) {
+      throw new Error(`emulator rejected the faults: ${text}`);
     }
   }
 }
 
-function hyphenated(name: string): string {
+function toKebabCase(name: string): string {
   return name.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`);
 }
--- a/packages/testing/src/fleet/example_objects.ts
+++ b/packages/testing/src/fleet/example_objects.ts
@@ -1,11 +1,11 @@
-/** A small configuration for tests and the demonstration. @module */
+/** A small example configuration for tests and the demonstration. @module */
 import type { ConfigurationObjects } from "@sycamorepulley/configuration";
 import { createHash } from "node:crypto";
 
 /** Bearer token of the example organisation. */
 export const EXAMPLE_TOKEN = "example-token";
 
-/** An assistant on model engines and a booking desk, for one organisation. */
+/** One organisation, an assistant on model engines and a booking service. */
 export function exampleObjects(): ConfigurationObjects {
   return {
     tiers: [
--- a/packages/testing/src/fleet/fleet.ts
+++ b/packages/testing/src/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** A small fleet of real processes on loopback. @module */
+/** Starts and stops a small fleet of real processes on loopback. @module */
 import type { ConfigurationObjects } from "@sycamorepulley/configuration";
 import { Caller } from "../caller/caller.ts";
 import type { RunRecord } from "../history/run_record.ts";
@@ -11,32 +11,32 @@
 import { EXAMPLE_TOKEN, exampleObjects } from "./example_objects.ts";
 import { publishObjects } from "./publish_objects.ts";
 
-/** A backend server to launch, with the sidecar beside it. */
+/** Options of a backend server that is launched with its sidecar. */
 export type BackendOptions = {
   kind: "model" | "plain";
   service: string;
   version: string;
-  /** Options of the emulator. */
+  /** Command-line options of the emulator. */
   options?: EmulatorOptions;
 };
 
 /** A launched backend server and its sidecar. */
 export type LaunchedBackend = {
-  /** Name of the server in its answers and history. */
+  /** Name of the server in its responses and history. */
   name: string;
-  backend: BackendOptions;
+  options: BackendOptions;
   server: EmulatedProcess;
   sidecar: DaemonProcess;
 };
 
-/** What a fleet is made of. */
+/** Options of a fleet. */
 export type FleetOptions = {
   entries?: number;
   backends: BackendOptions[];
   objects?: ConfigurationObjects;
 };
 
-/** Launched processes; `stop` ends them all. */
+/** The launched processes; `shutDown` or `kill` ends all of them. */
 export class Fleet {
   readonly keyValueStore: EmulatedProcess;
   readonly instanceList: EmulatedProcess;
@@ -55,7 +55,7 @@
     this.instanceList = instanceList;
   }
 
-  /** Starts the platform, publishes the objects, then starts the daemons. */
+  /** Starts the platform, publishes configuration, then starts the daemons. */
   static async start(options: FleetOptions): Promise<Fleet> {
     const [directory, keyValueStore, instanceList] = await Promise.all([
       TemporaryDirectory.create(),
@@ -79,26 +79,26 @@
     };
   }
 
-  /** Launches a backend server and, once it listens, its sidecar. */
-  async addBackend(backend: BackendOptions): Promise<LaunchedBackend> {
+  /** Launches a backend server and, as soon as it listens, its sidecar. */
+  async addBackend(options: BackendOptions): Promise<LaunchedBackend> {
     const number = this.backends.length + 1;
-    const name = `${backend.service}-server-${number}`;
-    const emulator = backend.kind === "model" ? "engine" : "plain";
+    const name = `${options.service}-server-${number}`;
+    const emulator = options.kind === "model" ? "engine" : "plain";
     const server = await EmulatedProcess.launch(emulator, {
       name,
-      ...backend.options,
+      ...options.options,
     });
     const settings = sidecarSettings(`sidecar-${number}`, this.platform, {
       url: server.url,
-      service: backend.service,
-      version: backend.version,
-      kind: backend.kind,
+      service: options.service,
+      version: options.version,
+      kind: options.kind,
       healthPath: "/health",
     });
     const sidecar = await DaemonProcess.launch(settings, this.#directory);
-    const pair = { name, backend, server, sidecar };
-    this.backends.push(pair);
-    return pair;
+    const backend = { name, options, server, sidecar };
+    this.backends.push(backend);
+    return backend;
   }
 
   /** Launches one more entry. */
@@ -110,7 +110,7 @@
     return entry;
   }
 
-  /** A caller of one entry with the example organisation's token. */
+  /** Creates a caller of one entry with the example organisation's token. */
   caller(entry: DaemonProcess | undefined = this.entries[0]): Caller {
     if (entry === undefined) {
       throw new Error("the fleet has no entry to call");
@@ -120,7 +120,7 @@
     return caller;
   }
 
-  /** What all live backend servers have seen. */
+  /** Returns the histories of all backend servers that are still running. */
   async runs(): Promise<RunRecord[]> {
     const histories = await Promise.all(
       this.backends
@@ -130,7 +130,7 @@
     return histories.flat();
   }
 
-  /** Stops gracefully, entries first, so that nothing is cut. */
+  /** Stops the fleet gracefully, entries first, so that no response is cut. */
   async shutDown(): Promise<void> {
     await Promise.all(this.entries.map(({ process }) => process.stop()));
     await Promise.all(
@@ -139,7 +139,7 @@
     await this.kill();
   }
 
-  /** Ends every process at once. */
+  /** Kills every process and removes the settings files. */
   async kill(): Promise<void> {
     await Promise.all(this.#callers.map((caller) => caller.close()));
     const processes = [
--- a/packages/testing/src/fleet/move_fleet.ts
+++ b/packages/testing/src/fleet/move_fleet.ts
@@ -1,4 +1,4 @@
-/** A fleet in which one service moves from one version to the next. @module */
+/** A fleet in which one service moves from one version to another. @module */
 import type { ConfigurationObjects, Move } from "@sycamorepulley/configuration";
 import { waitFor } from "../process/wait_for.ts";
 import type { DaemonProcess } from "./daemon_process.ts";
@@ -6,17 +6,17 @@
 import { Fleet } from "./fleet.ts";
 import type { LaunchedBackend } from "./fleet.ts";
 
-/** What an entry says of the move. */
+/** Status of the move as reported by an entry. */
 export type MoveStatus = { state: string; share: number; detail: string };
 
-/** Calls in flight at a time while a move is fed. */
-const CALLERS = 4;
+/** Number of concurrent calls during a move. */
+const CONCURRENT_CALLS = 4;
 
-/** Two servers of the old version and one of the new, two entries. */
+/** Two entries, two servers of the old version and one of the new version. */
 export class MoveFleet {
   readonly fleet: Fleet;
   readonly newBackend: LaunchedBackend;
-  #feeding = true;
+  #sending = true;
   #calls = 0;
 
   private constructor(fleet: Fleet) {
@@ -24,7 +24,10 @@
     this.newBackend = fleet.backends.at(-1)!;
   }
 
-  /** Starts the fleet with a move that ends `duration` ms from now. */
+  /**
+   * Starts the fleet with a move whose deadline is `duration` milliseconds from
+   * now.
+   */
   static async start(duration: number): Promise<MoveFleet> {
     const fleet = await Fleet.start({
       entries: 2,
@@ -39,56 +42,62 @@
     return new MoveFleet(fleet);
   }
 
-  /** Calls both entries without a pause until {@link stop}. */
+  /** Calls both entries continuously until {@link stop} is called. */
   sendCalls(): Promise<void> {
-    const feeders = Array.from({ length: CALLERS }, async (_, number) => {
-      const entry = this.fleet.entries[number % this.fleet.entries.length];
-      const caller = this.fleet.caller(entry);
-      while (this.#feeding) {
-        this.#calls += 1;
-        await caller.callPlainService({
-          marker: `call-${this.#calls}`,
-          service: "bookings",
-          method: "GET",
-          path: "/bookings/1",
-        });
-      }
-    });
-    return Promise.all(feeders).then(() => undefined);
+    const senders = Array.from(
+      { length: CONCURRENT_CALLS },
+      async (_, number) => {
+        const entry = this.fleet.entries[number % this.fleet.entries.length];
+        const caller = this.fleet.caller(entry);
+        while (this.#sending) {
+          this.#calls += 1;
+          await caller.callPlainService({
+            marker: `call-${this.#calls}`,
+            service: "bookings",
+            method: "GET",
+            path: "/bookings/1",
+          });
+        }
+      },
+    );
+    return Promise.all(senders).then(() => undefined);
   }
 
-  /** Calls sent so far, to either version. */
+  /** Number of calls sent so far, to either version. */
   get calls(): number {
     return this.#calls;
   }
 
-  /** Calls that the new version's server has seen. */
+  /** Number of calls that the server of the new version has received. */
   async countCallsToNewVersion(): Promise<number> {
     return (await this.newBackend.server.records()).length;
   }
 
-  /** Waits until an entry says that the move has ended; how it ended. */
+  /**
+   * Waits until an entry reports that the move has ended; returns its final
+   * status.
+   */
   waitForEnd(entry: DaemonProcess, timeout: number): Promise<MoveStatus> {
     return waitFor("the move to end", async () => {
-      const move = await standing(entry);
+      const move = await readMoveStatus(entry);
       return move?.state === "complete" || move?.state === "taken_back"
         ? move
         : undefined;
     }, timeout);
   }
 
-  /** Waits until an entry sends a share to the new version. */
+  /** Waits until an entry sends a share of the calls to the new version. */
   waitForStart(entry: DaemonProcess): Promise<MoveStatus> {
     return waitFor("the move to begin", async () => {
-      const move = await standing(entry);
+      const move = await readMoveStatus(entry);
       return move && move.share > 0 ? move : undefined;
     });
   }
 
-  /** The entry that drives the move, by its own log. */
+  /** Waits until the log of an entry says that it drives the move. */
   waitForDriver(): Promise<DaemonProcess> {
     return waitFor(
-      "a driver",
+      "an entry to drive the move",
       () =>
         this.fleet.entries.find(({ process }) =>
           !process.hasExited && process.output.includes("driving move")
@@ -96,14 +105,14 @@
     );
   }
 
-  /** Ends the feeding and every process. */
+  /** Stops sending calls and kills every process. */
   async stop(): Promise<void> {
-    this.#feeding = false;
+    this.#sending = false;
     await this.fleet.kill();
   }
 }
 
-async function standing(
+async function readMoveStatus(
   entry: DaemonProcess,
 ): Promise<MoveStatus | undefined> {
   const { moves } = await entry.status() as { moves?: MoveStatus[] };
--- a/packages/testing/src/fleet/publish_objects.ts
+++ b/packages/testing/src/fleet/publish_objects.ts
@@ -1,10 +1,10 @@
-/** Publishing configuration into an emulated key-value service. @module */
+/** Publishes configuration to an emulated key-value service. @module */
 import { publish } from "@sycamorepulley/configuration";
 import type { ConfigurationObjects } from "@sycamorepulley/configuration";
 import { HttpKeyValueStore } from "@sycamorepulley/store";
 import { randomUUID } from "node:crypto";
 
-/** Publishes a checked set; resolves to its revision. */
+/** Checks and publishes the configuration; returns its revision. */
 export async function publishObjects(
   keyValueStoreUrl: string,
   objects: ConfigurationObjects,
@@ -21,7 +21,9 @@
   });
   await store.close();
   if (published.isErr) {
-    throw new Error(`not published: ${JSON.stringify(published.error)}`);
+    throw new Error(
+      `configuration was not published: ${JSON.stringify(published.error)}`,
+    );
   }
   return published.value.snapshot.revision;
 }
--- a/packages/testing/src/history/call_record.ts
+++ b/packages/testing/src/history/call_record.ts
@@ -1,37 +1,37 @@
-/** What a caller saw of one request that it sent. @module */
+/** Record of one call, as seen by its caller. @module */
 
-/** The whole answer, as far as the connection says. */
-export type Answered = {
+/** A response that the connection delivered to its end. */
+export type AnsweredOutcome = {
   type: "answered";
   status: number;
   /** The generated text, or the body of a plain service. */
   text: string;
-  /** False when a stream ended without its end marker. */
+  /** False if a stream ended without its end marker. */
   ended: boolean;
 };
 
-/** A problem document of the entry. */
-export type Refused = {
+/** A refusal: a problem document sent by the entry. */
+export type RefusedOutcome = {
   type: "refused";
   status: number;
   reason: string;
   ran: "no" | "unknown" | "yes";
-  /** Seconds of the `Retry-After` header. */
+  /** Value of the `Retry-After` header in seconds. */
   retryAfter?: number;
 };
 
-/** The connection failed, or was cut within the answer. */
-export type Broken = { type: "broken"; detail: string; text: string };
+/** The connection failed, or closed before the end of the response. */
+export type BrokenOutcome = { type: "broken"; detail: string; text: string };
 
-/** How a call ended. */
-export type CallOutcome = Answered | Refused | Broken;
+/** Outcome of a call. */
+export type CallOutcome = AnsweredOutcome | RefusedOutcome | BrokenOutcome;
 
-/** One call. Instants are milliseconds of the caller's clock. */
+/** One call. Times are milliseconds since the epoch by the caller's clock. */
 export type CallRecord = {
-  /** Unique to a request; the same when a caller sends it again. */
+  /** Unique to a request; a retry by the caller has the same marker. */
   marker: string;
   service: string;
-  /** 0 is the most urgent. */
+  /** Rank of the tier; 0 is the most urgent. */
   tierRank?: number;
   idempotencyKey?: string;
   sentAt: number;
--- a/packages/testing/src/history/run_record.ts
+++ b/packages/testing/src/history/run_record.ts
@@ -1,10 +1,10 @@
-/** What a backend server saw of one request. @module */
+/** Record of one request, as seen by the backend server that ran it. @module */
 
-/** The part of a server's history that the checks read. */
+/** The fields of a server's history record that the checks need. */
 export type RunRecord = {
   server: string;
   marker?: string | undefined;
-  /** Milliseconds of the server's clock. */
+  /** Milliseconds since the epoch by the server's clock. */
   startedAt: number;
   outcome: "running" | "finished" | "failed" | "cancelled";
 };
--- a/packages/testing/src/measure/measure_fleet.ts
+++ b/packages/testing/src/measure/measure_fleet.ts
@@ -1,9 +1,9 @@
-/** The fleet that is measured: one entry, one sidecar, one fast engine. @module */
+/** The fleet to measure: one entry, one sidecar and one fast engine. @module */
 import type { DaemonProcess } from "../fleet/daemon_process.ts";
 import type { EmulatedProcess } from "../fleet/emulated_process.ts";
 import { Fleet } from "../fleet/fleet.ts";
 
-/** The processes of the path that is measured. */
+/** The processes on the measured path. */
 export type MeasuredPath = {
   fleet: Fleet;
   engine: EmulatedProcess;
@@ -11,7 +11,10 @@
   sidecar: DaemonProcess;
 };
 
-/** An engine of 1 ms a token, so that the path's own time shows. */
+/**
+ * An engine that takes 1 ms per token, so that the latency of the path is
+ * visible.
+ */
 const ENGINE_OPTIONS = {
   stepTime: 1,
   sequenceTime: 0,
@@ -19,7 +22,7 @@
   maxSequences: 1024,
 };
 
-/** Starts it; the caller stops the fleet. */
+/** Starts the fleet; the calling code has to stop it. */
 export async function startMeasuredPath(): Promise<MeasuredPath> {
   const fleet = await Fleet.start({
     entries: 1,
@@ -31,9 +34,9 @@
     }],
   });
   const [entry] = fleet.entries;
-  const [pair] = fleet.backends;
-  if (entry === undefined || pair === undefined) {
+  const [backend] = fleet.backends;
+  if (entry === undefined || backend === undefined) {
     throw new Error("the fleet started without its daemons");
   }
-  return { fleet, engine: pair.server, entry, sidecar: pair.sidecar };
+  return { fleet, engine: backend.server, entry, sidecar: backend.sidecar };
 }
--- a/packages/testing/src/measure/measure_latency.ts
+++ b/packages/testing/src/measure/measure_latency.ts
@@ -1,31 +1,39 @@
-/** Latency through entry and sidecar against the engine called directly. @module */
+/**
+ * Compares the latency of calls through entry and sidecar with that of direct
+ * calls to the engine.
+ * @module
+ */
 import { parseMix, runLoad } from "@sycamorepulley/emulator";
 import type { LoadSummary } from "@sycamorepulley/emulator";
 import { EXAMPLE_TOKEN } from "../fleet/example_objects.ts";
 import type { MeasuredPath } from "./measure_fleet.ts";
 import { processorTimes } from "./processor_times.ts";
 
-const ROUNDS = 3;
-const SECONDS = 5;
+const ROUND_COUNT = 3;
+const ROUND_SECONDS = 5;
 const WARM_UP_SECONDS = 3;
 const PROMPT_TOKENS = 200;
 const OUTPUT_TOKENS = 16;
 
-/** Milliseconds, each the median of the rounds. */
+/**
+ * Results for one rate. Durations are in milliseconds, each the median of the
+ * rounds.
+ */
 export type LatencyResult = {
   rate: number;
   answered: number;
   notAnswered: number;
-  /** First byte of streams and whole plain answers, direct and through. */
-  firstByte: Pair;
-  total: Pair;
-  /** Milliseconds of processor time a request. */
+  /** Time until the first byte of a streamed response. */
+  firstByte: LatencyComparison;
+  /** Time until the end of the response. */
+  total: LatencyComparison;
+  /** Processor time per request in milliseconds. */
   entryTime: number;
   sidecarTime: number;
 };
 
-/** Percentiles of both ways. */
-export type Pair = {
+/** Percentiles of direct calls and of calls through entry and sidecar. */
+export type LatencyComparison = {
   direct: { p50: number; p99: number };
   through: { p50: number; p99: number };
 };
@@ -37,14 +45,17 @@
   sidecarTime: number;
 };
 
-/** Alternates between both ways, so that the machine's moods fall on both. */
+/**
+ * Alternates between direct calls and calls through the daemons, so that
+ * changes in the machine's load affect both alike.
+ */
 export async function measureLatency(
   path: MeasuredPath,
   rate: number,
 ): Promise<LatencyResult> {
   await sendThrough(path, rate, { seconds: WARM_UP_SECONDS, seed: 100 });
   const rounds: Round[] = [];
-  for (let round = 0; round < ROUNDS; round++) {
+  for (let round = 0; round < ROUND_COUNT; round++) {
     rounds.push(await measureRound(path, rate, round));
   }
   return {
@@ -66,12 +77,12 @@
   round: number,
 ): Promise<Round> {
   const direct = await send(path.engine.url, true, rate, {
-    seconds: SECONDS,
+    seconds: ROUND_SECONDS,
     seed: round,
   });
   const before = await processorTimes(path);
   const through = await sendThrough(path, rate, {
-    seconds: SECONDS,
+    seconds: ROUND_SECONDS,
     seed: round,
   });
   const after = await processorTimes(path);
@@ -116,17 +127,20 @@
     },
   });
   if (summary === undefined) {
-    throw new Error("the load sent nothing");
+    throw new Error("no request of the load was sent");
   }
   return summary;
 }
 
-function medians(rounds: Round[], what: "firstByte" | "total"): Pair {
-  const of = (way: "direct" | "through") => ({
-    p50: median(rounds.map((round) => round[way][what].p50)),
-    p99: median(rounds.map((round) => round[way][what].p99)),
+function medians(
+  rounds: Round[],
+  duration: "firstByte" | "total",
+): LatencyComparison {
+  const mediansOf = (way: "direct" | "through") => ({
+    p50: median(rounds.map((round) => round[way][duration].p50)),
+    p99: median(rounds.map((round) => round[way][duration].p99)),
   });
-  return { direct: of("direct"), through: of("through") };
+  return { direct: mediansOf("direct"), through: mediansOf("through") };
 }
 
 function median(values: number[]): number {
--- a/packages/testing/src/measure/measure_waiting.ts
+++ b/packages/testing/src/measure/measure_waiting.ts
@@ -1,4 +1,8 @@
-/** Memory and processor time of waiting requests and of idleness. @module */
+/**
+ * Measures the daemons' memory and processor time, idle and with waiting
+ * requests.
+ * @module
+ */
 import { setMaxListeners } from "node:events";
 import { setTimeout } from "node:timers/promises";
 import type { CallOutcome } from "../history/call_record.ts";
@@ -7,23 +11,25 @@
 import { processorTimes } from "./processor_times.ts";
 import { residentMemory } from "./process_usage.ts";
 
-const WAITING = 1000;
+/** Number of requests that are sent to wait. */
+const WAITING_REQUESTS = 1000;
 const IDLE_SECONDS = 10;
-const SETTLE = 3000;
-/** So that every request still waits when the memory is read. */
+/** Milliseconds until memory is read. */
+const SETTLE_TIME = 3000;
+/** So slow that all requests still wait when memory is read. */
 const SLOW_FACTOR = 1_000_000;
 const PROMPT = "x".repeat(800);
 
-/** Of one daemon. Memory in MB, the idle share in parts of one core. */
+/** Usage of one daemon: memory in MB, idle share as a fraction of one core. */
 export type DaemonUsage = {
-  /** Before any load. */
+  /** Memory before any load. */
   freshMemory: number;
   idleMemory: number;
   idleShare: number;
   waitingMemory: number;
 };
 
-/** Of both daemons, with the requests that waited. */
+/** Usage of both daemons, and the number of requests that waited. */
 export type WaitingResult = {
   waiting: number;
   entry: DaemonUsage;
@@ -31,34 +37,37 @@
 };
 
 /** Resident memory of both daemons in MB. */
-export type Memory = { entry: number; sidecar: number };
+export type DaemonMemory = { entry: number; sidecar: number };
 
-/** Memory as it is now, once the daemons have had time to settle. */
-export async function measureMemory(path: MeasuredPath): Promise<Memory> {
-  await setTimeout(SETTLE);
+/** Measures resident memory after a pause in which the daemons settle. */
+export async function measureMemory(path: MeasuredPath): Promise<DaemonMemory> {
+  await setTimeout(SETTLE_TIME);
   return {
     entry: await residentMemory(path.entry.process.processId),
     sidecar: await residentMemory(path.sidecar.process.processId),
   };
 }
 
-/** Idles, then lets requests wait for an engine that stands almost still. */
+/**
+ * Measures idle daemons, then daemons with requests that wait for a very slow
+ * engine.
+ */
 export async function measureWaiting(
   path: MeasuredPath,
-  fresh: Memory,
+  fresh: DaemonMemory,
 ): Promise<WaitingResult> {
   const idle = await measureIdle(path);
   await path.engine.setFaults({ slowFactor: SLOW_FACTOR });
-  const stop = new AbortController();
-  setMaxListeners(0, stop.signal);
-  const calls = sendWaiting(path, stop.signal);
+  const abort = new AbortController();
+  setMaxListeners(0, abort.signal);
+  const calls = sendWaiting(path, abort.signal);
   await waitFor(
     "the requests to wait",
-    async () => await waitingAtEntry(path) >= WAITING * 0.9,
+    async () => await waitingAtEntry(path) >= WAITING_REQUESTS * 0.9,
   );
   const memory = await measureMemory(path);
   const waiting = await waitingAtEntry(path);
-  stop.abort();
+  abort.abort();
   await Promise.all(calls);
   const usage = (role: "entry" | "sidecar") => ({
     ...idle[role],
@@ -68,11 +77,11 @@
   return { waiting, entry: usage("entry"), sidecar: usage("sidecar") };
 }
 
-type Idle = Pick<DaemonUsage, "idleMemory" | "idleShare">;
+type IdleUsage = Pick<DaemonUsage, "idleMemory" | "idleShare">;
 
 async function measureIdle(
   path: MeasuredPath,
-): Promise<{ entry: Idle; sidecar: Idle }> {
+): Promise<{ entry: IdleUsage; sidecar: IdleUsage }> {
   const memory = await measureMemory(path);
   const before = await processorTimes(path);
   await setTimeout(IDLE_SECONDS * 1000);
@@ -89,7 +98,7 @@
   signal: AbortSignal,
 ): Promise<CallOutcome>[] {
   const caller = fleet.caller();
-  return Array.from({ length: WAITING }, (_, index) =>
+  return Array.from({ length: WAITING_REQUESTS }, (_, index) =>
     caller.chat({
       marker: `waiting-${index}`,
       service: "assistant",
--- a/packages/testing/src/measure/processor_times.ts
+++ b/packages/testing/src/measure/processor_times.ts
@@ -2,7 +2,7 @@
 import type { MeasuredPath } from "./measure_fleet.ts";
 import { processorTime } from "./process_usage.ts";
 
-/** Milliseconds used so far. */
+/** Returns each daemon's processor time so far, in milliseconds. */
 export async function processorTimes(
   { entry, sidecar }: MeasuredPath,
 ): Promise<{ entry: number; sidecar: number }> {
--- a/packages/testing/src/measure/report.ts
+++ b/packages/testing/src/measure/report.ts
@@ -1,12 +1,12 @@
-/** The page of measurements. @module */
+/** Formats the page of measurements. @module */
 import { execFileSync } from "node:child_process";
 import { cpus, loadavg } from "node:os";
 import process from "node:process";
-import type { LatencyResult, Pair } from "./measure_latency.ts";
+import type { LatencyComparison, LatencyResult } from "./measure_latency.ts";
 import type { DaemonUsage, WaitingResult } from "./measure_waiting.ts";
 
-/** Markdown; durations are milliseconds, memory is MB. */
-export function report(
+/** Formats the results as Markdown, with milliseconds and MB as units. */
+export function formatReport(
   latencies: LatencyResult[],
   waiting: WaitingResult,
 ): string {
@@ -14,21 +14,19 @@
 
 Written by \`npm run measure:latency\` on ${today()}, with
 Node.js ${process.version} on ${cpus().length} processors; the machine's load
-average at the end was ${
-    loadavg()[0]?.toFixed(1)
-  }, other work included. Above the
-number of processors, waiting for a processor is part of every figure.
+average at the end was ${loadavg()[0]?.toFixed(1)}, including other work. If it
+exceeds the number of processors, every figure includes waiting for a processor.
 
-One entry, one sidecar and one emulated engine (1 ms a token, 16 tokens,
-streamed) as processes on 127.0.0.1; arrivals are open-loop and seeded. Each
+One entry, one sidecar and one emulated engine (1 ms per token, 16 tokens,
+streamed) run as processes on 127.0.0.1; arrivals are open-loop and seeded. Each
 figure is the median of three rounds of 5 s that alternate between calling the
-engine directly and through entry and sidecar, after 3 s of warming up.
+engine directly and through entry and sidecar, after a warm-up of 3 s.
 
 ## Added latency
 
 ${latencyTable(latencies)}
 
-## Processor time a request
+## Processor time per request
 
 ${processorTable(latencies)}
 
@@ -36,17 +34,17 @@
 
 ${memoryTable(waiting)}
 
-The requests wait for an engine that stands almost still, with bodies of about
-900 bytes; their callers' connections are open. Memory is read before any load,
-after the loads above and while the requests wait. A bare Node.js process of
-this kind holds about ${bareMemory().toFixed(0)} MB.
+The requests have bodies of about 900 bytes and wait for an engine that is slowed
+almost to a standstill; their callers' connections are open. Memory is read before
+any load, after the loads above and while the requests wait. A bare Node.js process
+uses about ${measureBareNodeMemory().toFixed(0)} MB.
 `;
 }
 
 function latencyTable(latencies: LatencyResult[]): string {
   const rows = latencies.flatMap((result) => [
     latencyRow(result, "first byte", result.firstByte),
-    latencyRow(result, "whole answer", result.total),
+    latencyRow(result, "whole response", result.total),
   ]);
   return [
     "| requests/s | what | direct p50 / p99 | through p50 / p99 | " +
@@ -58,12 +56,12 @@
 
 function latencyRow(
   { rate, answered, notAnswered }: LatencyResult,
-  what: string,
-  { direct, through }: Pair,
+  label: string,
+  { direct, through }: LatencyComparison,
 ): string {
   const cells = [
     rate,
-    what,
+    label,
     percentiles(direct),
     percentiles(through),
     percentiles({
@@ -102,13 +100,14 @@
 }
 
 function memoryRow(role: string, usage: DaemonUsage, waiting: number): string {
-  const grown = (usage.waitingMemory - usage.idleMemory) * 1000 / waiting;
+  const memoryPerThousand = (usage.waitingMemory - usage.idleMemory) * 1000 /
+    waiting;
   const cells = [
     role,
     `${usage.freshMemory.toFixed(1)} MB`,
     `${usage.idleMemory.toFixed(1)} MB`,
     `${usage.waitingMemory.toFixed(1)} MB`,
-    `${grown.toFixed(1)} MB`,
+    `${memoryPerThousand.toFixed(1)} MB`,
     `${(usage.idleShare * 100).toFixed(2)}% of a core`,
   ];
   return `| ${cells.join(" | ")} |`;
@@ -118,7 +117,7 @@
   return new Date().toISOString().slice(0, 10);
 }
 
-function bareMemory(): number {
+function measureBareNodeMemory(): number {
   const bare = execFileSync(process.execPath, [
     "-e",
     "console.log(process.memoryUsage().rss)",
--- a/packages/testing/src/mod.ts
+++ b/packages/testing/src/mod.ts
@@ -1,4 +1,7 @@
-/** Launching real processes, recording histories and checking them. @module */
+/**
+ * Launches real processes, records the histories of calls and checks them.
+ * @module
+ */
 export { Caller } from "./caller/caller.ts";
 export type { Call, ChatCall, PlainCall } from "./caller/caller.ts";
 export { checkDispatchedOnce } from "./checks/dispatched_once.ts";
--- a/packages/testing/src/process/find_free_port.ts
+++ b/packages/testing/src/process/find_free_port.ts
@@ -1,9 +1,12 @@
-/** Ports of 127.0.0.1 that nothing listens on. @module */
+/** Finds a free port of 127.0.0.1. @module */
 import { once } from "node:events";
 import { createServer } from "node:net";
 import type { AddressInfo } from "node:net";
 
-/** A port that was free a moment ago. Prefer port 0 where it can be read back. */
+/**
+ * Returns a port that was free a moment ago; another process may take it
+ * meanwhile. Prefer port 0 if the actual port can be read back.
+ */
 export async function findFreePort(): Promise<number> {
   const server = createServer();
   server.listen(0, "127.0.0.1");
--- a/packages/testing/src/process/launched_process.ts
+++ b/packages/testing/src/process/launched_process.ts
@@ -1,4 +1,8 @@
-/** Node.js processes started by tests, and ended by their own handle only. @module */
+/**
+ * Node.js processes that tests start. They are ended by their own handles only,
+ * never by name.
+ * @module
+ */
 import { spawn } from "node:child_process";
 import type { ChildProcess } from "node:child_process";
 import { once } from "node:events";
@@ -7,111 +11,119 @@
 import type { Readable } from "node:stream";
 import { waitFor } from "./wait_for.ts";
 
-/** How a process ended. */
+/** Exit code or signal of a process that has ended. */
 export type ProcessExit = {
   code: number | null;
   signal: NodeJS.Signals | null;
 };
 
-/** A log line or ready line, parsed. */
-export type OutputLine = Record<string, unknown>;
+/** A line of JSON output, such as a log line, parsed. */
+export type OutputMessage = Record<string, unknown>;
 
-const running = new Set<ChildProcess>();
-// A test that throws at its top level would leave its processes behind.
-process.once("exit", () => running.forEach((child) => child.kill("SIGKILL")));
+const runningProcesses = new Set<ChildProcess>();
+// Otherwise a test that throws at its top level would leave processes running.
+process.once(
+  "exit",
+  () => runningProcesses.forEach((child) => child.kill("SIGKILL")),
+);
 
-/** One running process with its output. */
+/** A started process and its output. */
 export class LaunchedProcess {
   readonly exited: Promise<ProcessExit>;
   readonly #name: string;
   readonly #child: ChildProcess;
-  readonly #output: string[] = [];
-  #end: ProcessExit | undefined;
+  readonly #outputLines: string[] = [];
+  #exit: ProcessExit | undefined;
 
-  /** Starts `node` with these arguments. */
+  /** Starts `node` with these arguments; `name` is for error messages. */
   constructor(name: string, nodeArguments: string[]) {
     this.#name = name;
     this.#child = spawn(process.execPath, nodeArguments, {
       stdio: ["ignore", "pipe", "pipe"],
-      // In a group of its own: Ctrl-C at a terminal reaches the launcher only,
-      // which stops its processes in order.
+      // A process group of its own: Ctrl-C in a terminal only reaches the
+      // launcher, which then stops its processes in order.
       detached: true,
       env: { ...process.env, ROARR_LOG: "true", NODE_OPTIONS: "" },
     });
-    running.add(this.#child);
-    this.#collect(this.#child.stdout);
-    this.#collect(this.#child.stderr);
-    this.exited = this.#waitForEnd();
+    runningProcesses.add(this.#child);
+    this.#collectOutput(this.#child.stdout);
+    this.#collectOutput(this.#child.stderr);
+    this.exited = this.#waitForExit();
   }
 
   get processId(): number {
     return this.#child.pid ?? 0;
   }
 
-  /** Everything written so far, standard output and error alike. */
+  /** All output so far, of standard output and standard error. */
   get output(): string {
-    return this.#output.join("\n");
+    return this.#outputLines.join("\n");
   }
 
   get hasExited(): boolean {
-    return this.#end !== undefined;
+    return this.#exit !== undefined;
   }
 
-  /** The first JSON line with this `message`, once it is written. */
-  waitForMessage(message: string): Promise<OutputLine> {
-    return waitFor(`"${message}" of ${this.#name}`, () => {
-      const line = this.#lines().find((line) => line["message"] === message);
+  /** Waits for the first JSON line whose member `message` has this value. */
+  waitForMessage(message: string): Promise<OutputMessage> {
+    return waitFor(`output "${message}" of ${this.#name}`, () => {
+      const line = this.#parseMessages().find((line) =>
+        line["message"] === message
+      );
       if (line === undefined && this.hasExited) {
-        throw new Error(`${this.#name} ended before it said "${message}":
+        throw new Error(`${this.#name} exited without the output "${message}":
 ${this.output}`);
       }
       return line;
     });
   }
 
-  /** Asks the process to stop and waits until it has. */
+  /** Sends SIGTERM and waits until the process has exited. */
   stop(): Promise<ProcessExit> {
-    return this.#signal("SIGTERM");
+    return this.#endWithSignal("SIGTERM");
   }
 
-  /** Ends the process at once. */
+  /** Sends SIGKILL and waits until the process has exited. */
   kill(): Promise<ProcessExit> {
-    return this.#signal("SIGKILL");
+    return this.#endWithSignal("SIGKILL");
   }
 
-  /** Sends a signal without waiting. */
+  /** Sends a signal without waiting for the process to exit. */
   sendSignal(signal: NodeJS.Signals): void {
     this.#child.kill(signal);
   }
 
-  #signal(signal: NodeJS.Signals): Promise<ProcessExit> {
+  #endWithSignal(signal: NodeJS.Signals): Promise<ProcessExit> {
     if (!this.hasExited) {
       this.#child.kill(signal);
     }
     return this.exited;
   }
 
-  async #waitForEnd(): Promise<ProcessExit> {
+  async #waitForExit(): Promise<ProcessExit> {
     const [code, signal] = await once(this.#child, "close") as [
       number | null,
       NodeJS.Signals | null,
     ];
-    running.delete(this.#child);
-    this.#end = { code, signal };
-    return this.#end;
+    runningProcesses.delete(this.#child);
+    this.#exit = { code, signal };
+    return this.#exit;
   }
 
-  #collect(stream: Readable | null): void {
+  #collectOutput(stream: Readable | null): void {
     if (stream !== null) {
-      createInterface(stream).on("line", (line) => this.#output.push(line));
+      createInterface(stream).on(
+        "line",
+        (line) => this.#outputLines.push(line),
+      );
     }
   }
 
-  #lines(): OutputLine[] {
-    return this.#output.flatMap((line) => {
+  #parseMessages(): OutputMessage[] {
+    return this.#outputLines.flatMap((line) => {
       try {
         const parsed: unknown = JSON.parse(line);
-        return isOutputLine(parsed) ? [parsed] : [];
+        return isOutputMessage(parsed) ? [parsed] : [];
       } catch {
         return [];
       }
@@ -119,6 +131,6 @@
   }
 }
 
-function isOutputLine(value: unknown): value is OutputLine {
+function isOutputMessage(value: unknown): value is OutputMessage {
   return typeof value === "object" && value !== null;
 }
--- a/packages/testing/src/process/programs.ts
+++ b/packages/testing/src/process/programs.ts
@@ -6,9 +6,9 @@
   return fileURLToPath(new URL("main.js", entry));
 }
 
-/** `sycamorepulleyd`. */
+/** The daemon, `sycamorepulleyd`. */
 export const DAEMON_PROGRAM = programPath("daemon");
 /** The emulated servers. */
 export const EMULATOR_PROGRAM = programPath("emulator");
-/** `sycamorepulley`. */
+/** The command line, `sycamorepulley`. */
 export const COMMAND_LINE_PROGRAM = programPath("command_line");
--- a/packages/testing/src/process/temporary_directory.ts
+++ b/packages/testing/src/process/temporary_directory.ts
@@ -1,9 +1,12 @@
-/** Settings files of launched processes. @module */
+/**
+ * Temporary directories for the settings files of launched processes.
+ * @module
+ */
 import { mkdtemp, rm, writeFile } from "node:fs/promises";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 
-/** A directory that goes away with the test. */
+/** A temporary directory; the test removes it when it ends. */
 export class TemporaryDirectory {
   readonly path: string;
 
--- a/packages/testing/src/process/wait_for.ts
+++ b/packages/testing/src/process/wait_for.ts
@@ -1,15 +1,18 @@
-/** Waiting for a condition instead of sleeping. @module */
+/** Waits for a condition by polling, instead of for a fixed time. @module */
 import { setTimeout } from "node:timers/promises";
 
+/** Milliseconds between two probes. */
 const POLL_INTERVAL = 10;
+/** Milliseconds. */
 const DEFAULT_TIMEOUT = 20_000;
 
 /**
  * Resolves with the first value of `probe` that is neither `undefined` nor
- * `false`. Rejects, naming `what`, when there is none in time.
+ * `false`. Rejects if there is none within `timeout` milliseconds; the error
+ * message contains `description`.
  */
 export async function waitFor<Value>(
-  what: string,
+  description: string,
   probe: () => Value | undefined | false | Promise<Value | undefined | false>,
   timeout: number = DEFAULT_TIMEOUT,
 ): Promise<Value> {
@@ -20,7 +23,9 @@
       return value;
     }
     if (performance.now() > end) {
-      throw new Error(`waited ${timeout} ms in vain for ${what}`);
+      throw new Error(
+        `timed out after ${timeout} ms waiting for ${description}`,
+      );
     }
     await setTimeout(POLL_INTERVAL);
   }
