--- a/packages/testing/test/bad_frame_test.ts
+++ b/packages/testing/test/bad_frame_test.ts
@@ -1,7 +1,7 @@
-// A stray client, a port scanner or a peer of another release reaches the port
-// of the processes' own protocol and sends what is no frame of it. Unguarded,
-// the daemon dies of an exception or waits for gigabytes that never come, and
-// every caller's request on its good links goes with it.
+// A port scanner, a client of another protocol or a peer of another release
+// sends invalid frames to the protocol port. An exception or a wait for
+// gigabytes that never arrive would end all requests on the daemon's valid
+// links.
 import { Buffer } from "node:buffer";
 import { once } from "node:events";
 import { connect } from "node:net";
@@ -12,8 +12,11 @@
 const BAD_BYTES = {
   "text of another protocol": Buffer.from("GET / HTTP/1.1\r\n\r\n"),
   "a frame of 4 GB": Buffer.from("ffffffff00", "hex"),
-  "a frame that is no message": Buffer.from("00000003" + "a1616101", "hex"),
-  "a frame of broken cbor": Buffer.from("00000004" + "ffffffff", "hex"),
+  "a frame without a valid message": Buffer.from(
+    "00000003" + "a1616101",
+    "hex",
+  ),
+  "a frame of invalid CBOR": Buffer.from("00000004" + "ffffffff", "hex"),
 };
 
 const fleet = await Fleet.start({
@@ -47,7 +50,7 @@
 }
 
 for (const [name, bytes] of Object.entries(BAD_BYTES)) {
-  t.test(`${name} closes the link, is counted and names the peer`, async (t) => {
+  t.test(`${name}: the link is closed, the error is counted and the peer is logged`, async (t) => {
     for (const daemon of [fleet.backends[0]!.sidecar, fleet.entries[0]!]) {
       const before = await linkErrors(daemon);
       const peer = await sendBadBytes(daemon, bytes);
@@ -56,7 +59,7 @@
         async () => await linkErrors(daemon) > before,
       );
       await waitFor(
-        "the peer to be named",
+        "the peer to be logged",
         () => daemon.process.output.includes(peer),
       );
       t.notOk(daemon.process.hasExited);
--- a/packages/testing/test/caller_test.ts
+++ b/packages/testing/test/caller_test.ts
@@ -18,7 +18,7 @@
   return caller.calls;
 }
 
-t.test("records whole answers", async (t) => {
+t.test("complete responses are recorded as answered", async (t) => {
   const calls = await callEngine(t);
   t.match(calls, [
     { marker: "whole", outcome: { type: "answered", status: 200 } },
@@ -27,7 +27,7 @@
   t.same(checkCompleteResponses(calls), []);
 });
 
-t.test("records cut answers as broken", async (t) => {
+t.test("truncated responses are recorded as broken", async (t) => {
   const calls = await callEngine(t, { cutAfterTokens: 2 });
   t.match(calls, [
     { outcome: { type: "broken" } },
--- a/packages/testing/test/checks_test.ts
+++ b/packages/testing/test/checks_test.ts
@@ -35,42 +35,53 @@
   return { type: "refused", status: 503, reason, ran };
 }
 
-t.test("whole answers pass, crossed and cut ones are found", (t) => {
+t.test("complete responses pass; swapped and truncated ones are found", (t) => {
   const good = call("a", answered(markedText("a", 5)));
   const broken = call("b", { type: "broken", detail: "reset", text: "b:1/5 " });
   t.same(checkCompleteResponses([good, broken]), []);
-  const crossed = call("c", answered(markedText("a", 5)));
-  const cut = call("d", answered("d:1/5 d:2/5 "));
+  const swapped = call("c", answered(markedText("a", 5)));
+  const truncated = call("d", answered("d:1/5 d:2/5 "));
   const mixed = call("e", answered("e:1/2 a:2/2 "));
-  const unended = call("f", answered(markedText("f", 5), false));
-  const found = checkCompleteResponses([crossed, cut, mixed, unended]);
+  const withoutEndMarker = call("f", answered(markedText("f", 5), false));
+  const found = checkCompleteResponses([
+    swapped,
+    truncated,
+    mixed,
+    withoutEndMarker,
+  ]);
   t.same(found.map(({ marker }) => marker), ["c", "d", "e", "f"]);
   t.end();
 });
 
-t.test("a second dispatch is found", (t) => {
+t.test("a request that was dispatched twice is found", (t) => {
   t.same(checkDispatchedOnce([run("a"), run("b")]), []);
   const found = checkDispatchedOnce([run("a"), run("b"), run("a")]);
   t.match(found, [{ marker: "a", detail: /started 2 times/ }]);
   t.end();
 });
 
-t.test("a false not-run is found", (t) => {
-  const honest = call("a", refused("queue_full"));
-  const unsure = call("b", refused("answer_cut", "unknown"));
-  t.same(checkNotRunRefusals([honest, unsure], [run("b")]), []);
-  t.match(checkNotRunRefusals([honest, unsure], [run("a")]), [{ marker: "a" }]);
+t.test("a refusal as not run of a request that ran is found", (t) => {
+  const refusedAsNotRun = call("a", refused("queue_full"));
+  const refusedAsUnknown = call("b", refused("answer_cut", "unknown"));
+  t.same(
+    checkNotRunRefusals([refusedAsNotRun, refusedAsUnknown], [run("b")]),
+    [],
+  );
+  t.match(
+    checkNotRunRefusals([refusedAsNotRun, refusedAsUnknown], [run("a")]),
+    [{ marker: "a" }],
+  );
   t.end();
 });
 
-t.test("a resend that ran makes its refused first try no lie", (t) => {
+t.test("a refused call passes if a retry with the same marker ran", (t) => {
   const first = call("a", refused("queue_full"));
   const second = call("a", answered(markedText("a", 5)));
   t.same(checkNotRunRefusals([first, second], [run("a")]), []);
   t.end();
 });
 
-t.test("shedding a high tier beside a waiting lower one is found", (t) => {
+t.test("a call shed while one of a lower tier waits is found", (t) => {
   const shed = call("high", refused("queue_full"), {
     tierRank: 0,
     sentAt: 40,
@@ -85,7 +96,7 @@
   t.end();
 });
 
-t.test("a refusal for the deadline sheds nothing", (t) => {
+t.test("a refusal because of the deadline does not count as shedding", (t) => {
   const late = call("high", refused("deadline"), { sentAt: 40, endedAt: 60 });
   const low = call("low", answered(""), { tierRank: 2, endedAt: 200 });
   t.same(checkShedOrder([late, low], [run("low", 120)]), []);
--- a/packages/testing/test/crashing_request_test.ts
+++ b/packages/testing/test/crashing_request_test.ts
@@ -2,12 +2,10 @@
 import { Fleet } from "../src/mod.ts";
 
 const SERVERS = 4;
-const RESENDS = 8;
+const ATTEMPTS = 8;
 
-t.test("a request that crashes servers takes two at most", async (t) => {
-  // A caller's request kills each engine that runs it, and the caller sends it
-  // again at once, to either entry. Unchecked it takes the whole service down;
-  // its neighbours' requests must go on being answered.
+t.test("a request that crashes servers is quarantined after two at most", async (t) => {
+  // Retries through both entries would otherwise crash every server in turn.
   const fleet = await Fleet.start({
     entries: 2,
     backends: Array.from({ length: SERVERS }, () => ({
@@ -23,7 +21,7 @@
   }
   const callers = fleet.entries.map((entry) => fleet.caller(entry));
   const reasons: string[] = [];
-  for (let attempt = 0; attempt < RESENDS; attempt++) {
+  for (let attempt = 0; attempt < ATTEMPTS; attempt++) {
     const caller = callers[attempt % callers.length]!;
     const outcome = await caller.chat({
       marker: "fatal",
@@ -32,13 +30,15 @@
     });
     reasons.push(outcome.type === "refused" ? outcome.reason : outcome.type);
   }
-  const lost = fleet.backends.filter(({ server }) => server.process.hasExited);
-  t.ok(lost.length <= 2, `servers lost: ${lost.length}`);
+  const crashed = fleet.backends.filter(({ server }) =>
+    server.process.hasExited
+  );
+  t.ok(crashed.length <= 2, `servers crashed: ${crashed.length}`);
   t.equal(reasons.at(-1), "quarantined");
-  const neighbours = await Promise.all(
+  const otherOutcomes = await Promise.all(
     ["one", "two", "three", "four"].map((marker) =>
       callers[0]!.chat({ marker, service: "assistant" })
     ),
   );
-  t.same(neighbours.filter(({ type }) => type !== "answered"), []);
+  t.same(otherOutcomes.filter(({ type }) => type !== "answered"), []);
 });
--- a/packages/testing/test/graceful_shutdown_test.ts
+++ b/packages/testing/test/graceful_shutdown_test.ts
@@ -1,6 +1,6 @@
-// An operator replaces an instance while callers read streamed answers. If the
-// process ends at the signal, each stream stops in mid-sentence; if it goes on
-// taking requests, it never ends.
+// An operator replaces an instance while it serves streamed responses. If the
+// process exits at the signal, the streams are cut; if it accepts further
+// requests, it never exits.
 import t from "tap";
 import { checkCompleteResponses, Fleet, waitFor } from "../src/mod.ts";
 import type { FleetOptions } from "../src/mod.ts";
@@ -14,7 +14,7 @@
     options: { stepTime: 10, speed: 1 },
   })),
 };
-const LONG_ANSWER = 100;
+const LONG_RESPONSE_TOKENS = 100;
 
 function serverOf(fleet: Fleet, marker: string) {
   return waitFor(`${marker} to run`, async () => {
@@ -23,7 +23,7 @@
   });
 }
 
-t.test("an entry finishes its streams, then ends", async (t) => {
+t.test("an entry that is stopped finishes its streams, then exits", async (t) => {
   const fleet = await Fleet.start(FLEET);
   t.teardown(() => fleet.kill());
   const caller = fleet.caller(fleet.entries[0]);
@@ -33,22 +33,25 @@
         marker,
         service: "assistant",
         stream: true,
-        outputTokens: LONG_ANSWER,
+        outputTokens: LONG_RESPONSE_TOKENS,
       })
     ),
   );
   await Promise.all(["a", "b", "c"].map((marker) => serverOf(fleet, marker)));
-  const end = fleet.entries[0]!.process.stop();
+  const exit = fleet.entries[0]!.process.stop();
   const outcomes = await streams;
   t.match(outcomes, outcomes.map(() => ({ type: "answered", ended: true })));
   t.same(checkCompleteResponses(caller.calls), []);
-  t.equal((await end).code, 0);
-  const other = fleet.caller(fleet.entries[1]);
-  const after = await other.chat({ marker: "after", service: "assistant" });
+  t.equal((await exit).code, 0);
+  const otherCaller = fleet.caller(fleet.entries[1]);
+  const after = await otherCaller.chat({
+    marker: "after",
+    service: "assistant",
+  });
   t.equal(after.type, "answered");
 });
 
-t.test("a sidecar finishes its streams and takes no more", async (t) => {
+t.test("a sidecar that is stopped finishes its streams and gets no further requests", async (t) => {
   const fleet = await Fleet.start(FLEET);
   t.teardown(() => fleet.kill());
   const caller = fleet.caller(fleet.entries[0]);
@@ -56,14 +59,14 @@
     marker: "long",
     service: "assistant",
     stream: true,
-    outputTokens: LONG_ANSWER,
+    outputTokens: LONG_RESPONSE_TOKENS,
   });
   const server = await serverOf(fleet, "long");
-  const leaving = fleet.backends.find(({ name }) => name === server)!;
-  const end = leaving.sidecar.process.stop();
+  const draining = fleet.backends.find(({ name }) => name === server)!;
+  const exit = draining.sidecar.process.stop();
   await waitFor(
-    "the sidecar to take its leave",
-    () => leaving.sidecar.process.output.includes("leaving"),
+    "the sidecar to announce that it is draining",
+    () => draining.sidecar.process.output.includes("leaving"),
   );
   const later = await Promise.all(
     Array.from(
@@ -74,11 +77,11 @@
   );
   t.same(later.filter(({ type }) => type !== "answered"), []);
   t.match(await stream, { type: "answered", ended: true });
-  t.equal((await end).code, 0);
+  t.equal((await exit).code, 0);
   t.same(checkCompleteResponses(caller.calls), []);
   const runs = await fleet.runs();
-  const taken = runs.filter((run) =>
+  const runsAfterDrain = runs.filter((run) =>
     run.server === server && run.marker?.startsWith("later")
   );
-  t.same(taken, []);
+  t.same(runsAfterDrain, []);
 });
--- a/packages/testing/test/idempotency_test.ts
+++ b/packages/testing/test/idempotency_test.ts
@@ -1,6 +1,6 @@
-// A caller books a slot, loses the answer on the way and sends the booking again,
-// perhaps through another entry, perhaps while the first is still running. If
-// both run, two craftsmen come and both are paid.
+// A caller that did not get the response to a non-idempotent request sends it
+// again, perhaps through another entry or while the first one is still running.
+// If both run, the caller has two bookings.
 import t from "tap";
 import { Fleet, waitFor } from "../src/mod.ts";
 import type { CallOutcome } from "../src/mod.ts";
@@ -16,14 +16,14 @@
 });
 t.teardown(() => fleet.kill());
 const caller = fleet.caller(fleet.entries[0]);
-const other = fleet.caller(fleet.entries[1]);
+const otherCaller = fleet.caller(fleet.entries[1]);
 
-function isUnderWay(outcome: CallOutcome) {
+function isInProgress(outcome: CallOutcome) {
   return outcome.type === "refused" &&
     outcome.reason === "idempotency_in_progress";
 }
 
-t.test("a resent booking runs once, at either entry", async (t) => {
+t.test("a retried booking runs once, through the same entry or another", async (t) => {
   const booking = {
     marker: "booking",
     service: "bookings",
@@ -34,13 +34,13 @@
   const first = await caller.callPlainService(booking);
   t.match(first, { type: "answered", status: 201 });
   t.same(await caller.callPlainService(booking), first);
-  // The outcome is recorded a moment after the answer; until then the other
-  // entry must say that the first is under way, and never run it again.
+  // The outcome is stored shortly after the response. Until then the other
+  // entry must refuse the retry as in progress, and never run it again.
   const elsewhere = await waitFor(
-    "the outcome at the other entry",
+    "the other entry to return the stored outcome",
     async () => {
-      const outcome = await other.callPlainService(booking);
-      return isUnderWay(outcome) ? undefined : outcome;
+      const outcome = await otherCaller.callPlainService(booking);
+      return isInProgress(outcome) ? undefined : outcome;
     },
   );
   t.same(elsewhere, first);
@@ -48,7 +48,7 @@
   t.equal(ran.length, 1);
 });
 
-t.test("a booking sent twice at once runs once", async (t) => {
+t.test("a booking sent through two entries at the same time runs once", async (t) => {
   const booking = {
     marker: "racing",
     service: "bookings",
@@ -58,13 +58,13 @@
   } as const;
   await Promise.all([
     caller.callPlainService(booking),
-    other.callPlainService(booking),
+    otherCaller.callPlainService(booking),
   ]);
   const ran = (await fleet.runs()).filter((run) => run.marker === "racing");
   t.equal(ran.length, 1);
 });
 
-t.test("another body under the same key is refused", async (t) => {
+t.test("a request with a used key and another body is refused", async (t) => {
   const booking = {
     marker: "reused",
     service: "bookings",
@@ -73,14 +73,14 @@
     idempotencyKey: "key-3",
   } as const;
   await caller.callPlainService({ ...booking, body: { slot: "nine" } });
-  const reused = await other.callPlainService({
+  const reused = await otherCaller.callPlainService({
     ...booking,
     body: { slot: "ten" },
   });
   t.match(reused, { reason: "idempotency_key_reused", ran: "no" });
 });
 
-t.test("a lost answer to the claim costs no second run", async (t) => {
+t.test("a lost response to the claim's write does not lead to a second run", async (t) => {
   const booking = {
     marker: "lost-answer",
     service: "bookings",
@@ -90,7 +90,7 @@
   } as const;
   await fleet.keyValueStore.putFaults({ lostWriteAnswers: 1 });
   await caller.callPlainService(booking);
-  await other.callPlainService(booking);
+  await otherCaller.callPlainService(booking);
   await fleet.keyValueStore.putFaults({});
   const ran = (await fleet.runs()).filter((run) =>
     run.marker === "lost-answer"
@@ -98,7 +98,7 @@
   t.ok(ran.length <= 1);
 });
 
-t.test("without the key-value service a booking is refused", async (t) => {
+t.test("a booking is refused during an outage of the key-value service", async (t) => {
   await fleet.keyValueStore.putFaults({ outage: "refuse" });
   const refused = await caller.callPlainService({
     marker: "outage",
--- a/packages/testing/test/outage_start_test.ts
+++ b/packages/testing/test/outage_start_test.ts
@@ -1,10 +1,9 @@
 import t from "tap";
 import { Fleet, waitFor } from "../src/mod.ts";
 
-t.test("a process that starts during an outage learns from peers", async (t) => {
-  // The key-value service is down and an entry is replaced. Were it to wait
-  // for the service, the balancer would have one entry less for hours; were it
-  // to start with nothing, it would refuse every caller.
+t.test("an entry that starts during an outage gets its configuration from peers", async (t) => {
+  // An entry that waited for the key-value service would be missing for hours;
+  // one that started without configuration would refuse every call.
   const fleet = await Fleet.start({
     entries: 1,
     backends: [1, 2].map(() => ({
@@ -23,15 +22,14 @@
   );
   t.ok(Number(before?.["configurationRevision"]) > 0);
   t.equal(after?.["configurationRevision"], before?.["configurationRevision"]);
-  const answer = await fleet.caller(started)
+  const outcome = await fleet.caller(started)
     .chat({ marker: "during", service: "assistant" });
-  t.match(answer, { type: "answered" });
+  t.match(outcome, { type: "answered" });
 });
 
-t.test("a non-idempotent call during an outage is truly not run", async (t) => {
-  // A customer orders a slot while nobody can tell whether the order was placed
-  // before. It must not run, and must say so; once the service is back the same
-  // key runs, once.
+t.test("a non-idempotent call refused during an outage has not run", async (t) => {
+  // During the outage nobody can tell whether the call was sent before. After
+  // it, the same key runs once.
   const fleet = await Fleet.start({
     entries: 1,
     backends: [{
@@ -56,7 +54,7 @@
   t.equal(refused.type === "refused" && refused.ran, "no");
   t.same(await fleet.runs(), []);
   await fleet.keyValueStore.putFaults({});
-  await waitFor("the booking to be taken", async () => {
+  await waitFor("the booking to be accepted", async () => {
     const outcome = await caller.callPlainService(booking);
     return outcome.type === "answered";
   });
--- a/packages/testing/test/overload_test.ts
+++ b/packages/testing/test/overload_test.ts
@@ -1,6 +1,6 @@
-// Lunch hour: review tags fill every queue, then plan replies come in. If the
-// queues refuse newcomers only, the replies are refused while the tags that came
-// first are served, and customers phone instead.
+// Requests of the lowest tier fill every queue before urgent ones arrive. If
+// the queues refused only new requests, the urgent ones would be refused while
+// the earlier ones of the lowest tier are served.
 import { setTimeout } from "node:timers/promises";
 import t from "tap";
 import {
@@ -16,7 +16,7 @@
 const QUEUE = 10;
 const LOW_CALLS = 60;
 const HIGH_CALLS = 12;
-/** Milliseconds; messages on their way on a busy machine. */
+/** Milliseconds; tolerance for messages in transit on a busy machine. */
 const SLACK = 250;
 
 function objectsWithShortQueues() {
--- a/packages/testing/test/requests_test.ts
+++ b/packages/testing/test/requests_test.ts
@@ -24,11 +24,11 @@
       options: { callTime },
     })),
   ],
-  objects: objectsWithNarrowOrganisation(),
+  objects: objectsWithoutUrgentTier(),
 };
 
-/** As the example, but its caller may not ask for the urgent tier. */
-function objectsWithNarrowOrganisation() {
+/** The example objects, but the organisation may not use the urgent tier. */
+function objectsWithoutUrgentTier() {
   const objects = exampleObjects();
   objects.organisations[0]!.tiers = ["standard", "batch"];
   return objects;
@@ -37,15 +37,15 @@
 const fleet = await Fleet.start(FLEET);
 t.teardown(() => fleet.kill());
 const caller = fleet.caller(fleet.entries[0]);
-const other = fleet.caller(fleet.entries[1]);
+const otherCaller = fleet.caller(fleet.entries[1]);
 
-t.test("plain chat", async (t) => {
+t.test("a chat completion is answered", async (t) => {
   const outcome = await caller.chat({ marker: "plain", service: "assistant" });
   t.match(outcome, { type: "answered", status: 200, text: /^plain:1\/8 / });
 });
 
-t.test("streamed chat", async (t) => {
-  const outcome = await other.chat({
+t.test("a streamed chat completion is answered", async (t) => {
+  const outcome = await otherCaller.chat({
     marker: "streamed",
     service: "assistant",
     stream: true,
@@ -54,7 +54,7 @@
   t.match(outcome, { type: "answered", ended: true, text: /streamed:40\/40/ });
 });
 
-t.test("idempotent call of a plain service", async (t) => {
+t.test("an idempotent call of a plain service is answered", async (t) => {
   const outcome = await caller.callPlainService({
     marker: "lookup",
     service: "bookings",
@@ -64,7 +64,7 @@
   t.match(outcome, { type: "answered", status: 404, text: /not found/ });
 });
 
-t.test("refusals say why and that nothing ran", async (t) => {
+t.test("refusals state the reason and that the request has not run", async (t) => {
   const chat = { marker: "refused", service: "assistant" };
   const refused = { type: "refused", ran: "no" };
   t.match(await caller.chat({ ...chat, token: "wrong" }), {
@@ -110,7 +110,7 @@
   });
 });
 
-t.test("each refusal reason has a counter", async (t) => {
+t.test("refusals are counted by reason", async (t) => {
   const metrics = await fleet.entries[0]!.metrics();
   const names = [...metrics.keys()].filter((name) =>
     name.startsWith("sycamorepulley_refusals_total")
@@ -120,12 +120,12 @@
   }
 });
 
-t.test("crossing chats each get their own whole answer", async (t) => {
+t.test("concurrent chat completions are all answered", async (t) => {
   const outcomes = await Promise.all(
     Array.from(
       { length: 60 },
       (_, index) =>
-        (index % 2 === 0 ? caller : other).chat({
+        (index % 2 === 0 ? caller : otherCaller).chat({
           marker: `crossing-${index}`,
           service: "assistant",
           stream: index % 3 === 0,
@@ -136,8 +136,8 @@
   t.same(outcomes.filter(({ type }) => type !== "answered"), []);
 });
 
-t.test("the histories keep the promises", async (t) => {
-  const calls = [...caller.calls, ...other.calls];
+t.test("the histories of all calls pass the checks", async (t) => {
+  const calls = [...caller.calls, ...otherCaller.calls];
   const chats = calls.filter(({ service }) => service === "assistant");
   const runs = await fleet.runs();
   t.ok(runs.length > 60);
--- a/packages/testing/test/server_crash_test.ts
+++ b/packages/testing/test/server_crash_test.ts
@@ -1,6 +1,6 @@
-// An engine dies while it answers. A caller that got the first half of a quote
-// must not take it for the whole, and must not read that nothing ran; its
-// neighbours' requests go to the engines that are left.
+// An engine crashes during a response. Its caller must not take the part that
+// it got for a complete response, nor be told that the request has not run.
+// Requests of other callers must be served by the remaining engines.
 import t from "tap";
 import type { Test } from "tap";
 import {
@@ -22,14 +22,14 @@
   })),
 };
 
-/** Kills the server in the midst of a streamed, or of a plain, answer. */
-async function crash(t: Test, stream: boolean) {
+/** Kills the server during a response, which is streamed or not. */
+async function crashDuringResponse(t: Test, stream: boolean) {
   const fleet = await Fleet.start(FLEET);
   t.teardown(() => fleet.kill());
   const caller = fleet.caller();
-  let begun = !stream;
-  const answer = caller.chat({
-    onFirstBytes: () => begun = true,
+  let started = !stream;
+  const outcomePromise = caller.chat({
+    onFirstBytes: () => started = true,
     marker: "fatal",
     service: "assistant",
     stream,
@@ -37,11 +37,11 @@
   });
   const run: RunRecord = await waitFor("the request to run", async () => {
     const runs = await fleet.runs();
-    return begun && runs.find(({ marker }) => marker === "fatal");
+    return started && runs.find(({ marker }) => marker === "fatal");
   });
-  const pair = fleet.backends.find(({ name }) => name === run.server)!;
-  await pair.server.process.kill();
-  const outcome = await answer;
+  const backend = fleet.backends.find(({ name }) => name === run.server)!;
+  await backend.server.process.kill();
+  const outcome = await outcomePromise;
   const markers = Array.from({ length: 6 }, (_, index) => `after-${index}`);
   const after = await Promise.all(
     markers.map((marker) => caller.chat({ marker, service: "assistant" })),
@@ -55,15 +55,15 @@
   return { outcome, after, violations };
 }
 
-t.test("a stream is cut as an error", async (t) => {
-  const { outcome, after, violations } = await crash(t, true);
+t.test("a stream that is cut by a crash ends with an error", async (t) => {
+  const { outcome, after, violations } = await crashDuringResponse(t, true);
   t.equal(outcome.type, "broken");
   t.same(after.filter(({ type }) => type !== "answered"), []);
   t.same(violations, []);
 });
 
-t.test("a plain answer becomes a refusal that claims no rest", async (t) => {
-  const { outcome, after, violations } = await crash(t, false);
+t.test("a cut response that is not streamed becomes a refusal that does not say not run", async (t) => {
+  const { outcome, after, violations } = await crashDuringResponse(t, false);
   t.match(outcome, { type: "refused", reason: "answer_cut" });
   t.not(outcome.type === "refused" && outcome.ran, "no");
   t.same(after.filter(({ type }) => type !== "answered"), []);
--- a/packages/testing/test/server_limit_test.ts
+++ b/packages/testing/test/server_limit_test.ts
@@ -2,13 +2,14 @@
 import t from "tap";
 import { checkNotRunRefusals, Fleet } from "../src/mod.ts";
 
-/** Requests a second that the server states. */
+/** Limit that the server states, in requests per second. */
 const LIMIT = 2;
-/** Milliseconds that callers press, and what is accepted in them. */
-const TIME = 3000;
-const ACCEPTED = 1.5 * LIMIT * TIME / 1000 + 5;
+/** Milliseconds for which the callers send more than the limit. */
+const SENDING_TIME = 3000;
+/** Maximum number of requests that may run in that time. */
+const MAX_RUNS = 1.5 * LIMIT * SENDING_TIME / 1000 + 5;
 
-t.test("a sidecar keeps to the limit that its server states", async (t) => {
+t.test("a sidecar keeps the request rate within the limit that its server states", async (t) => {
   const fleet = await Fleet.start({
     entries: 2,
     backends: [{
@@ -19,8 +20,8 @@
     }],
   });
   t.teardown(() => fleet.kill());
-  const [pair] = fleet.backends;
-  await pair!.server.setFaults({ statedLimit: { perSecond: LIMIT } });
+  const [backend] = fleet.backends;
+  await backend!.server.setFaults({ statedLimit: { perSecond: LIMIT } });
   const callers = fleet.entries.map((entry) => fleet.caller(entry));
   const send = (index: number) =>
     callers.map((caller, number) =>
@@ -34,17 +35,17 @@
     );
   await Promise.all(send(0));
   const before = (await fleet.runs()).length;
-  const answers: unknown[] = [];
-  for (let index = 1; index <= TIME / 100; index++) {
-    answers.push(...send(index));
+  const outcomes: unknown[] = [];
+  for (let index = 1; index <= SENDING_TIME / 100; index++) {
+    outcomes.push(...send(index));
     await setTimeout(100);
   }
   const runs = await fleet.runs();
   const ran = runs.length - before;
-  t.ok(ran <= ACCEPTED, `${ran} requests, ${ACCEPTED} are accepted`);
+  t.ok(ran <= MAX_RUNS, `${ran} requests, ${MAX_RUNS} are accepted`);
   t.ok(ran >= LIMIT, `${ran} requests`);
-  await pair!.server.setFaults({});
-  await Promise.all(answers);
+  await backend!.server.setFaults({});
+  await Promise.all(outcomes);
   t.same(
     checkNotRunRefusals(
       callers.flatMap(({ calls }) => calls),
--- a/packages/testing/test/sidecar_death_test.ts
+++ b/packages/testing/test/sidecar_death_test.ts
@@ -1,7 +1,7 @@
-// A sidecar is killed while requests wait in its queue and some run on its
-// server. Callers of the waiting ones must not notice: the entry still holds
-// their bodies and places them at the other sidecar. Callers of the running
-// ones get an error that does not claim that nothing ran.
+// A sidecar is killed while requests wait in its queue and others run on its
+// server. The entry still has the bodies of the waiting requests and places
+// them at the other sidecar. The running ones get an error that must not say
+// that they have not run.
 import t from "tap";
 import {
   checkCompleteResponses,
@@ -12,52 +12,52 @@
 } from "../src/mod.ts";
 
 const CALLS = 40;
-const SEQUENCES = 4;
-/** So slow that nothing ends while the test looks. */
-const STANDSTILL = 100_000;
+const MAX_SEQUENCES = 4;
+/** Milliseconds; so slow that no request ends during the test. */
+const BLOCKING_STEP_TIME = 100_000;
 
-t.test("waiting requests are placed elsewhere", async (t) => {
+t.test("requests that wait at a killed sidecar move to another one", async (t) => {
   const fleet = await Fleet.start({
     entries: 1,
-    backends: [STANDSTILL, 20].map((stepTime) => ({
+    backends: [BLOCKING_STEP_TIME, 20].map((stepTime) => ({
       kind: "model",
       service: "assistant",
       version: "assistant-1",
-      options: { stepTime, maxSequences: SEQUENCES },
+      options: { stepTime, maxSequences: MAX_SEQUENCES },
     })),
   });
   t.teardown(() => fleet.kill());
   const caller = fleet.caller();
-  const answers = Array.from({ length: CALLS }, (_, index) =>
+  const outcomes = Array.from({ length: CALLS }, (_, index) =>
     caller.chat({
       marker: `call-${index}`,
       service: "assistant",
       outputTokens: 20,
     }));
-  const dying = fleet.backends[0]!;
+  const killed = fleet.backends[0]!;
   await waitFor(
     "requests to run and to wait at the first sidecar",
     async () => {
-      const metrics = await dying.sidecar.metrics();
+      const metrics = await killed.sidecar.metrics();
       const running = metrics.get(
         'sycamorepulley_running{service="assistant"}',
       );
       const waiting = metrics.get(
         'sycamorepulley_waiting{service="assistant"}',
       );
-      const started = (await dying.server.records()).length;
+      const started = (await killed.server.records()).length;
       return waiting !== undefined && running === started;
     },
   );
-  await dying.sidecar.process.kill();
-  await Promise.all(answers);
+  await killed.sidecar.process.kill();
+  await Promise.all(outcomes);
   const runs = await fleet.runs();
-  const lost = runs.filter(({ server }) => server === dying.name)
+  const lostMarkers = runs.filter(({ server }) => server === killed.name)
     .map(({ marker }) => marker);
-  t.ok(lost.length > 0);
+  t.ok(lostMarkers.length > 0);
   const unanswered = caller.calls
     .filter(({ outcome }) => outcome.type !== "answered");
-  t.same(unanswered.map(({ marker }) => marker).sort(), lost.sort());
+  t.same(unanswered.map(({ marker }) => marker).sort(), lostMarkers.sort());
   t.match(unanswered, unanswered.map(() => ({ outcome: { ran: "unknown" } })));
   t.same(checkCompleteResponses(caller.calls), []);
   t.same(checkDispatchedOnce(runs), []);
