--- a/benchmarks/src/claims.ts
+++ b/benchmarks/src/claims.ts
@@ -1,10 +1,11 @@
 /**
- * Prints what claiming costs the platform's key-value service and the caller,
- * over HTTP on 127.0.0.1, with the service emulated in the same process.
+ * Prints the cost of idempotency claims: calls to the platform's key-value
+ * service, and the time that callers wait. The service is emulated in the same
+ * process and called by HTTP on 127.0.0.1. Run with `npm run bench:claims`.
  * @module
  */
 import { measureClaims } from "./claims/measure_claims.ts";
-import { measureSize } from "./claims/measure_size.ts";
+import { measureClaimSize } from "./claims/measure_claim_size.ts";
 
 const CASES = [
   { ledgers: 1, perSecond: 5 },
@@ -46,7 +47,7 @@
   ]);
 }
 
-const size = await measureSize();
+const size = await measureClaimSize();
 console.log(`
 One service's claims with outcomes of ${size.bodyBytes} bytes:
 ${size.claims} claims take ${size.bytesPerClaim.toFixed(0)} bytes each,
--- a/benchmarks/src/claims/measure_size.ts
+++ b/benchmarks/src/claims/measure_claim_size.ts
@@ -1,11 +1,11 @@
-/** Bytes that claims take in the key-value service. @module */
+/** Measures the size of claims in the key-value service. @module */
 import { ClaimLedger, MemoryKeyValueStore } from "@sycamorepulley/store";
 
 const CLAIMS = 20_000;
-const BATCH = 400;
+const BATCH_SIZE = 400;
 const BODY_BYTES = 300;
 
-/** Sizes in bytes. */
+/** Sizes are bytes. */
 export type ClaimSize = {
   claims: number;
   bodyBytes: number;
@@ -14,17 +14,17 @@
   largestValue: number;
 };
 
-/** Claims and records many requests of one service. */
-export async function measureSize(): Promise<ClaimSize> {
+/** Claims many requests of one service and records their outcomes. */
+export async function measureClaimSize(): Promise<ClaimSize> {
   const store = new MemoryKeyValueStore();
   const ledger = new ClaimLedger({
     store,
     commitBudget: { perSecond: 1e6, burst: 1e6 },
     batchDelay: 1,
   });
-  for (let start = 0; start < CLAIMS; start += BATCH) {
+  for (let start = 0; start < CLAIMS; start += BATCH_SIZE) {
     const batch = Array.from(
-      { length: BATCH },
+      { length: BATCH_SIZE },
       (_, index) => claimAndRecord(ledger, `key-${start + index}`),
     );
     await Promise.all(batch);
@@ -35,8 +35,8 @@
     .filter(([key]) => !key.includes("/index/"))
     .map(([, { value }]) => value.length);
   const indexes = entries.flatMap(([, { value }]) => {
-    const name: unknown = JSON.parse(value).index;
-    const entry = entries.find(([key]) => key === name);
+    const indexKey: unknown = JSON.parse(value).index;
+    const entry = entries.find(([key]) => key === indexKey);
     return entry === undefined ? [] : [entry[1].value.length];
   });
   return {
@@ -49,20 +49,20 @@
 }
 
 async function claimAndRecord(ledger: ClaimLedger, key: string): Promise<void> {
-  const answer = await ledger.claim({
+  const result = await ledger.claim({
     service: "bookings",
     organisation: "guild",
     key,
     fingerprint: "b".repeat(32),
     now: Date.now(),
   });
-  if (answer.isErr || answer.value.kind !== "claimed") {
+  if (result.isErr || result.value.kind !== "claimed") {
     throw new Error(`not claimed: ${key}`);
   }
   const headers = { "content-type": "application/json" };
   const body = Buffer.alloc(BODY_BYTES, "x");
   const outcome = { status: 201, headers, body };
-  await ledger.record({ claim: answer.value.claim, outcome });
+  await ledger.record({ claim: result.value.claim, outcome });
 }
 
 function sum(values: number[]): number {
--- a/benchmarks/src/claims/measure_claims.ts
+++ b/benchmarks/src/claims/measure_claims.ts
@@ -1,4 +1,7 @@
-/** Claims and outcomes at a steady rate over several ledgers. @module */
+/**
+ * Measures claims at a steady rate of requests, spread over several ledgers.
+ * @module
+ */
 import { startKeyValueStore } from "@sycamorepulley/emulator";
 import {
   claimCommitBudgetOptions,
@@ -7,17 +10,19 @@
 } from "@sycamorepulley/store";
 import { setTimeout as sleep } from "node:timers/promises";
 
+/** Milliseconds for which requests are sent. */
 const DURATION = 5000;
-const TICK = 20;
-/** Time that a request runs before its outcome is recorded. */
-const CALL_TIME = 100;
+/** Milliseconds between the times at which due requests are sent. */
+const SEND_INTERVAL = 20;
+/** Milliseconds that a request runs before its outcome is recorded. */
+const REQUEST_DURATION = 100;
 const OUTCOME = {
   status: 201,
   headers: { "content-type": "application/json" },
   body: Buffer.alloc(300, "x"),
 };
 
-/** Cost of a case. Times in milliseconds. */
+/** Cost of one case. `median` and `percentile99` are milliseconds. */
 export type ClaimCost = {
   claimed: number;
   refused: number;
@@ -28,7 +33,7 @@
   percentile99: number;
 };
 
-/** Runs one case; all keys are new ones. */
+/** Runs one case, in which all keys are new. */
 export async function measureClaims(
   options: { ledgers: number; perSecond: number },
 ): Promise<ClaimCost> {
@@ -43,27 +48,27 @@
       commitBudget: claimCommitBudgetOptions(3 * options.ledgers),
     })
   );
-  const waits = await offerLoad(ledgers, options.perSecond);
+  const waitTimes = await sendRequests(ledgers, options.perSecond);
   const counts = await (await fetch(`${server.url}/counts`)).json() as {
     reads: number;
     writes: number;
   };
   await Promise.all(stores.map((store) => store.close()));
   await server.close();
-  const claimed = waits.filter((wait) => wait !== undefined);
-  claimed.sort((one, other) => one - other);
+  const claimed = waitTimes.filter((wait) => wait !== undefined);
+  claimed.sort((left, right) => left - right);
   return {
     claimed: claimed.length,
-    refused: waits.length - claimed.length,
+    refused: waitTimes.length - claimed.length,
     writesPerSecond: counts.writes / (DURATION / 1000),
     readsPerSecond: counts.reads / (DURATION / 1000),
-    callsPerRequest: (counts.reads + counts.writes) / waits.length,
+    callsPerRequest: (counts.reads + counts.writes) / waitTimes.length,
     median: claimed[Math.floor(claimed.length / 2)] ?? NaN,
     percentile99: claimed[Math.floor(claimed.length * 0.99)] ?? NaN,
   };
 }
 
-async function offerLoad(
+async function sendRequests(
   ledgers: ClaimLedger[],
   perSecond: number,
 ): Promise<(number | undefined)[]> {
@@ -77,20 +82,23 @@
         requests.push(runRequest(ledger, `key-${requests.length}`));
       }
     }
-    await sleep(TICK);
+    await sleep(SEND_INTERVAL);
   }
-  const waits = await Promise.all(requests);
+  const waitTimes = await Promise.all(requests);
   await Promise.all(ledgers.map((ledger) => ledger.waitForDrain()));
-  return waits;
+  return waitTimes;
 }
 
-/** Milliseconds until the claim was granted; `undefined` if it was refused. */
+/**
+ * Returns the milliseconds until the claim was granted, `undefined` if it was
+ * refused.
+ */
 async function runRequest(
   ledger: ClaimLedger,
   key: string,
 ): Promise<number | undefined> {
   const start = performance.now();
-  const answer = await ledger.claim({
+  const result = await ledger.claim({
     service: "bookings",
     organisation: "guild",
     key,
@@ -98,11 +106,11 @@
     now: Date.now(),
   });
   const wait = performance.now() - start;
-  if (answer.isErr || answer.value.kind !== "claimed") {
+  if (result.isErr || result.value.kind !== "claimed") {
     return undefined;
   }
-  const { claim } = answer.value;
-  await sleep(CALL_TIME);
+  const { claim } = result.value;
+  await sleep(REQUEST_DURATION);
   void ledger.record({ claim, outcome: OUTCOME });
   return wait;
 }
--- a/benchmarks/src/configuration.ts
+++ b/benchmarks/src/configuration.ts
@@ -1,6 +1,7 @@
 /**
- * Prints what a configuration costs as organisations grow: its size in the
- * platform's service, and the time and memory of adopting it in a process.
+ * Prints the cost of configurations with growing numbers of organisations: the
+ * size in the platform's key-value service, and the time and memory that it
+ * takes a process to adopt one. Run with `npm run bench:configuration`.
  * @module
  */
 import { measureConfiguration } from "./configuration/measure_configuration.ts";
@@ -35,6 +36,6 @@
     cost.check,
     cost.encode,
     cost.adopt,
-    cost.heldBytes / 1024,
+    cost.retainedBytes / 1024,
   ]);
 }
--- a/benchmarks/src/configuration/measure_configuration.ts
+++ b/benchmarks/src/configuration/measure_configuration.ts
@@ -1,4 +1,4 @@
-/** One configuration from its file to the index of a process. @module */
+/** Measures a configuration from its file to the index in a process. @module */
 import {
   checkObjects,
   ConfigurationIndex,
@@ -10,7 +10,7 @@
 
 const ROUNDS = 5;
 
-/** Times in milliseconds, the median of some rounds. */
+/** Times are milliseconds, the median over several rounds. */
 export type ConfigurationCost = {
   fileBytes: number;
   storedBytes: number;
@@ -18,14 +18,14 @@
   encode: number;
   /** Decoding the manifest and indexing its objects. */
   adopt: number;
-  heldBytes: number;
+  retainedBytes: number;
 };
 
-/** Costs of a set with so many organisations of one credential each. */
+/** Measures a configuration whose organisations have one credential each. */
 export function measureConfiguration(organisations: number): ConfigurationCost {
-  const source = fileWith(organisations);
+  const source = createFile(organisations);
   const now = Date.now();
-  const check = millisecondsOf(() => {
+  const check = measureMilliseconds(() => {
     const read = readObjects(source, "fleet.jsonc");
     const problems = read.isOk
       ? checkObjects(read.value.objects, { now, source: read.value.source })
@@ -47,13 +47,13 @@
     fileBytes: Buffer.byteLength(source),
     storedBytes: Buffer.byteLength(text),
     check,
-    encode: millisecondsOf(encode),
-    adopt: millisecondsOf(() => adopted(text)),
-    heldBytes: heldBytes(() => adopted(text)),
+    encode: measureMilliseconds(encode),
+    adopt: measureMilliseconds(() => adopt(text)),
+    retainedBytes: measureRetainedBytes(() => adopt(text)),
   };
 }
 
-function adopted(text: string): unknown {
+function adopt(text: string): unknown {
   const snapshot = decodeManifest(text);
   if (snapshot.isErr) {
     throw new Error(snapshot.error);
@@ -62,34 +62,37 @@
   return { snapshot: snapshot.value, index };
 }
 
-/** The second of two, so that what only the first one compiles counts for none. */
-function heldBytes(create: () => unknown): number {
-  const held: unknown[] = [];
+/**
+ * Returns the heap bytes that the result of `create` retains. Measures the
+ * second of two calls, since the first also compiles code.
+ */
+function measureRetainedBytes(create: () => unknown): number {
+  const retained: unknown[] = [];
   const sizes = [0, 1].map(() => {
-    const before = collectedHeap();
-    held.push(create());
-    return collectedHeap() - before;
+    const before = heapAfterCollection();
+    retained.push(create());
+    return heapAfterCollection() - before;
   });
-  return held.length === sizes.length ? sizes[1] ?? NaN : NaN;
+  return retained.length === sizes.length ? sizes[1] ?? NaN : NaN;
 }
 
-function collectedHeap(): number {
+function heapAfterCollection(): number {
   globalThis.gc?.();
   globalThis.gc?.();
   return process.memoryUsage().heapUsed;
 }
 
-function millisecondsOf(work: () => unknown): number {
+function measureMilliseconds(work: () => unknown): number {
   const times = Array.from({ length: ROUNDS }, () => {
     const start = performance.now();
     work();
     return performance.now() - start;
   });
-  times.sort((one, other) => one - other);
+  times.sort((left, right) => left - right);
   return times[ROUNDS >> 1] ?? NaN;
 }
 
-function fileWith(organisations: number): string {
+function createFile(organisations: number): string {
   const tiers = ["urgent", "high", "standard", "low", "batch"];
   const services = ["assistant", "quotes", "tags", "orders", "bookings"];
   return JSON.stringify(
--- a/benchmarks/src/deciding.ts
+++ b/benchmarks/src/deciding.ts
@@ -1,6 +1,7 @@
 /**
- * Prints what deciding itself costs as the queue and the fleet grow. The figures
- * are this machine's; what matters is that no column grows in step with its row.
+ * Prints the time that decisions take for growing queues and fleets. The figures
+ * depend on the machine; what matters is that no column grows in proportion to
+ * the size of the queue or the fleet. Run with `npm run bench:deciding`.
  * @module
  */
 import { cpus } from "node:os";
@@ -48,7 +49,7 @@
   printRow(["---:", "---:", "---:"]);
   for (const size of FLEET_SIZES) {
     const cost = measurePlacement(size);
-    printRow([size, cost.withRoom, cost.overloaded]);
+    printRow([size, cost.withCapacity, cost.overloaded]);
   }
 }
 
--- a/benchmarks/src/deciding/measure.ts
+++ b/benchmarks/src/deciding/measure.ts
@@ -1,13 +1,14 @@
-/** Nanoseconds of one decision, on this machine. @module */
+/** Measures the time of a decision on the machine it runs on. @module */
 
 const ROUNDS = 9;
 const WARM_UP_ROUNDS = 3;
 
 /**
- * The median of some rounds of `decisions` calls each: a round that was cut short
- * by another process or by the garbage collector does not count.
+ * Returns the median nanoseconds per call over several rounds of `decisions`
+ * calls each. The median ignores rounds that were interrupted by another process
+ * or by garbage collection.
  */
-export function nanosecondsOf(
+export function measureNanoseconds(
   decide: (index: number) => void,
   decisions: number,
 ): number {
@@ -26,8 +27,11 @@
   return rounds[ROUNDS >> 1] ?? 0;
 }
 
-/** A repeatable sequence of numbers in [0, 1), cheap beside what is measured. */
-export function numbers(seed: number): () => number {
+/**
+ * Creates a seeded generator of numbers in [0, 1), which costs little compared
+ * with what is measured.
+ */
+export function createRandom(seed: number): () => number {
   let state = seed;
   return () => {
     state = (Math.imul(state, 1664525) + 1013904223) >>> 0;
--- a/benchmarks/src/deciding/placement_decisions.ts
+++ b/benchmarks/src/deciding/placement_decisions.ts
@@ -1,6 +1,6 @@
-/** The cost of choosing whom to ask for a place. @module */
+/** Measures the choice of sidecars for a request's reservations. @module */
 import { BackendServerSet } from "@sycamorepulley/decisions";
-import { nanosecondsOf, numbers } from "./measure.ts";
+import { createRandom, measureNanoseconds } from "./measure.ts";
 
 const DATA_CENTRES = 4;
 const RESERVATIONS = 4;
@@ -8,20 +8,20 @@
 const DECISIONS = 5000;
 const SEED = 11;
 
-/** Nanoseconds of one choice of four sidecars. */
+/** Nanoseconds for one choice of four sidecars. */
 export type PlacementCost = {
   backendServers: number;
-  /** The servers have room. */
-  withRoom: number;
-  /** Every server is overloaded, so no preferred one is taken. */
+  /** The servers have free capacity. */
+  withCapacity: number;
+  /** All servers are overloaded, so the prefix's preferred one is not chosen. */
   overloaded: number;
 };
 
-/** Measures a service of `backendServers` servers. */
+/** Measures the choice for a service with `backendServers` servers. */
 export function measurePlacement(backendServers: number): PlacementCost {
   return {
     backendServers,
-    withRoom: measureChoice(backendServers, 4),
+    withCapacity: measureChoice(backendServers, 4),
     overloaded: measureChoice(backendServers, 90),
   };
 }
@@ -34,9 +34,9 @@
     const load = { running, waiting: 0, limit: 30, expectedWait: 0 };
     set.observeLoad(name, { ...load, healthy: true }, 0);
   }
-  const random = numbers(SEED);
+  const random = createRandom(SEED);
   const exclude = new Set<string>();
-  return nanosecondsOf((index) => {
+  return measureNanoseconds((index) => {
     set.choose({
       count: RESERVATIONS,
       exclude,
--- a/benchmarks/src/messages.ts
+++ b/benchmarks/src/messages.ts
@@ -1,7 +1,8 @@
 /**
- * What the processes' own protocol costs: bytes on the wire and time to
- * encode, decode and check, for each message of a request's life and of an
- * idle link. One message a frame, which is the dearest case.
+ * Measures the protocol between the processes: bytes on the wire, and the time
+ * to encode, decode and check each message of a request and of an idle link.
+ * Each frame has one message, which is the most expensive case. Run with
+ * `npm run bench:messages`.
  * @module
  */
 import { performance } from "node:perf_hooks";
@@ -9,9 +10,9 @@
 import type { Message } from "@sycamorepulley/protocol";
 
 const ROUNDS = 20_000;
-const WARM_UP = 2_000;
-/** TCP and IP headers of a segment of its own. */
-const SEGMENT_BYTES = 52;
+const WARM_UP_ROUNDS = 2_000;
+/** TCP and IP headers of a message that is sent in its own segment. */
+const TCP_IP_HEADER_BYTES = 52;
 
 const MESSAGES: Record<string, Message> = {
   reserve: {
@@ -66,7 +67,7 @@
 function measure(message: Message): { bytes: number; microseconds: number } {
   const decoder = new FrameDecoder({ peer: "bench" });
   const round = () => decoder.push(encodeFrame([message]));
-  for (let count = 0; count < WARM_UP; count++) round();
+  for (let count = 0; count < WARM_UP_ROUNDS; count++) round();
   const start = performance.now();
   for (let count = 0; count < ROUNDS; count++) round();
   const elapsed = performance.now() - start;
@@ -80,6 +81,6 @@
 console.log("| --- | ---: | ---: | ---: |");
 for (const [name, message] of Object.entries(MESSAGES)) {
   const { bytes, microseconds } = measure(message);
-  const wire = bytes + SEGMENT_BYTES;
+  const wire = bytes + TCP_IP_HEADER_BYTES;
   console.log(`| ${name} | ${bytes} | ${wire} | ${microseconds.toFixed(1)} |`);
 }
--- a/benchmarks/src/placing.ts
+++ b/benchmarks/src/placing.ts
@@ -1,8 +1,8 @@
 /**
- * What it costs to decide where a request's reservations go, as the number of
- * backend servers grows. Prints a table of nanoseconds per call, the median of
- * several rounds, beside two ways that were weighed and visit every server.
- * Run with `npm run bench:placing`.
+ * Measures how long it takes to choose the servers for a request's reservations,
+ * for growing numbers of backend servers. Prints a table of nanoseconds per
+ * call, the median of several rounds. For comparison, it includes two
+ * alternatives that visit every server. Run with `npm run bench:placing`.
  * @module
  */
 import { BackendServerSet, hashText } from "@sycamorepulley/decisions";
@@ -10,9 +10,9 @@
 
 const SIZES = [10, 30, 100, 300, 600];
 const ROUNDS = 7;
-/** Calls of one round; the ways that visit all servers take longer each. */
-const CALLS = 20_000;
-const SLOW_CALLS = 1000;
+const CALLS_PER_ROUND = 20_000;
+/** Fewer, for calls that take longer: they visit all servers or change the set. */
+const SLOW_CALLS_PER_ROUND = 1000;
 const PREFIXES = 1000;
 const DATA_CENTRES = ["a1", "a2", "b1", "b2"];
 
@@ -37,12 +37,12 @@
   });
   for (const [index, name] of names.entries()) {
     set.add({ name, dataCentre: DATA_CENTRES[index % 4]! }, 0);
-    observe(set, name, random, 0);
+    observeRandomLoad(set, name, random, 0);
   }
   return set;
 }
 
-function observe(
+function observeRandomLoad(
   set: BackendServerSet,
   name: string,
   random: () => number,
@@ -54,10 +54,10 @@
   set.observeLoad(name, { ...report, healthy: true }, now);
 }
 
-/** Median nanoseconds of one call over several rounds. */
+/** Returns the median nanoseconds per call over several rounds. */
 function measure(
   call: (index: number) => void,
-  calls = CALLS,
+  calls = CALLS_PER_ROUND,
 ): number {
   const rounds: number[] = [];
   for (let round = 0; round < ROUNDS; round++) {
@@ -82,25 +82,25 @@
     set.choose({ ...options, prefixKey: prefixOf(index) })
   );
   const report = measure((index) =>
-    observe(set, names[index % size]!, random, 10)
+    observeRandomLoad(set, names[index % size]!, random, 10)
   );
   const shedding = measure(() => set.shedsTier(2, 10));
   const extra = { name: "added", dataCentre: "a1" };
   const membership = measure(() => {
     set.add(extra, 10);
     set.remove("added");
-  }, SLOW_CALLS);
+  }, SLOW_CALLS_PER_ROUND);
   const reports = new Map<string, Report>();
   for (const name of names) {
     reports.set(name, { running: random() * 12, waiting: 1, limit: 12, at: 0 });
   }
   const scan = measure(
-    () => lightestOfAll(names, reports, exclude),
-    SLOW_CALLS,
+    () => chooseByScan(names, reports, exclude),
+    SLOW_CALLS_PER_ROUND,
   );
   const rendezvous = measure(
-    (index) => rendezvousOfAll(names, prefixOf(index)),
-    SLOW_CALLS,
+    (index) => chooseByRendezvous(names, prefixOf(index)),
+    SLOW_CALLS_PER_ROUND,
   );
   return [
     size,
@@ -112,30 +112,30 @@
 
 type Report = { running: number; waiting: number; limit: number; at: number };
 
-/** Weighed and left: the two lightest of all servers by their reports. */
-function lightestOfAll(
+/** Alternative, not used: the two least loaded servers, from a scan of all. */
+function chooseByScan(
   names: readonly string[],
   reports: ReadonlyMap<string, Report>,
   exclude: ReadonlySet<string>,
 ): [string, string] {
-  const lightest: [string, string] = ["", ""];
-  const least: [number, number] = [Infinity, Infinity];
+  const leastLoaded: [string, string] = ["", ""];
+  const lowest: [number, number] = [Infinity, Infinity];
   for (const name of names) {
     if (exclude.has(name)) continue;
     const { running, waiting, limit, at } = reports.get(name)!;
-    const pressure = at < 1000 ? (running + waiting) / limit : 0.5;
-    if (pressure < least[0]) {
-      [least[1], lightest[1]] = [least[0], lightest[0]];
-      [least[0], lightest[0]] = [pressure, name];
-    } else if (pressure < least[1]) {
-      [least[1], lightest[1]] = [pressure, name];
+    const loadRatio = at < 1000 ? (running + waiting) / limit : 0.5;
+    if (loadRatio < lowest[0]) {
+      [lowest[1], leastLoaded[1]] = [lowest[0], leastLoaded[0]];
+      [lowest[0], leastLoaded[0]] = [loadRatio, name];
+    } else if (loadRatio < lowest[1]) {
+      [lowest[1], leastLoaded[1]] = [loadRatio, name];
     }
   }
-  return lightest;
+  return leastLoaded;
 }
 
-/** Weighed and left: rendezvous hashing over all servers. */
-function rendezvousOfAll(names: readonly string[], key: string): string {
+/** Alternative, not used: rendezvous hashing over all servers. */
+function chooseByRendezvous(names: readonly string[], key: string): string {
   let best = "";
   let highest = -1;
   for (const name of names) {
