--- a/benchmarks/src/main.ts
+++ b/benchmarks/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * The bench's command line:
+ * The command line of the simulation benchmark:
  * `npm run bench -- [--section patterns|aim|ablations|all] [--seed 1]
  * [--pattern overload-2] [--deployment zlati]`.
  * @module
@@ -37,12 +37,16 @@
     },
   });
   const sections = SECTIONS.get(values.section);
-  if (sections === undefined) fail("section", [...SECTIONS.keys()]);
+  if (sections === undefined) {
+    exitWithUsageError("section", [...SECTIONS.keys()]);
+  }
   const seed = Number(values.seed);
-  if (!Number.isSafeInteger(seed)) fail("seed", ["a whole number"]);
+  if (!Number.isSafeInteger(seed)) {
+    exitWithUsageError("seed", ["a whole number"]);
+  }
   const options = {
-    deployments: named(DEPLOYMENTS, "deployment", values.deployment),
-    patterns: named(patterns, "pattern", values.pattern),
+    deployments: selectByName(DEPLOYMENTS, "deployment", values.deployment),
+    patterns: selectByName(patterns, "pattern", values.pattern),
     seed,
   };
   console.log(`Seed ${seed}.`);
@@ -51,18 +55,23 @@
   }
 }
 
-function named<Named extends { name: string }>(
-  all: readonly Named[],
+function selectByName<NamedItem extends { name: string }>(
+  all: readonly NamedItem[],
   option: string,
   name: string | undefined,
-): readonly Named[] {
+): readonly NamedItem[] {
   if (name === undefined) return all;
-  const found = all.filter((one) => one.name === name);
-  if (found.length === 0) fail(option, all.map((one) => one.name));
+  const found = all.filter((item) => item.name === name);
+  if (found.length === 0) {
+    exitWithUsageError(
+      option,
+      all.map((item) => item.name),
+    );
+  }
   return found;
 }
 
-function fail(option: string, allowed: string[]): never {
+function exitWithUsageError(option: string, allowed: string[]): never {
   console.error(`--${option}: use ${allowed.join(", ")}`);
   process.exit(2);
 }
--- a/benchmarks/src/model/engine.ts
+++ b/benchmarks/src/model/engine.ts
@@ -1,13 +1,13 @@
 /**
- * An engine with continuous batching: it admits requests in the order in which
- * they come, knows no priority, prefills in chunks beside decoding, and keeps
- * a bounded cache of prefixes.
+ * Simulates an inference engine with continuous batching. It admits requests in
+ * order of arrival, without priorities, prefills in chunks while it decodes
+ * other requests, and has a prefix cache of limited size.
  * @module
  */
 import {
   type EngineSettings,
+  MAX_PREFILL_TOKENS_PER_STEP,
   MAXIMUM_SEQUENCES,
-  PREFILL_CHUNK,
   STEP_BASE,
   STEP_PER_CONTEXT_TOKEN,
   STEP_PER_PREFILL_TOKEN,
@@ -17,41 +17,41 @@
 import type { Outcome } from "./outcome.ts";
 import { PrefixCache } from "./prefix_cache.ts";
 
-/** Work done on a crashing request before it takes the engine down. */
-const TOKENS_BEFORE_CRASH = 3;
+/** Output tokens of a crashing request after which the engine crashes. */
+const TOKENS_UNTIL_CRASH = 3;
 
-/** What the process beside the engine hears of one request. */
+/** Notified of the progress of one request; implemented by the engine's user. */
 export type SequenceListener = {
   onFirstToken(): void;
-  /** One more token. */
-  onProgress(): void;
+  /** Called for each token after the first. */
+  onLaterToken(): void;
   onFinished(): void;
-  /** The engine died with the request in it. */
+  /** The engine crashed while the request was waiting or running. */
   onCrashed(): void;
 };
 
 type Sequence = {
   outcome: Outcome;
   listener: SequenceListener;
-  leftToPrefill: number;
-  prefillInStep: number;
-  generated: number;
+  remainingPrefillTokens: number;
+  stepPrefillTokens: number;
+  generatedTokens: number;
   cancelled: boolean;
 };
 
-/** The engine's life as seen from beside it. */
+/** Notified when the engine crashes and when it has restarted. */
 export type EngineObserver = {
   onCrashed(): void;
   onRestarted(): void;
 };
 
-/** See the module. */
+/** One simulated engine. */
 export class Engine {
   readonly settings: EngineSettings;
   readonly cache: PrefixCache;
   observer: EngineObserver | undefined;
   readonly #loop: EventLoop;
-  readonly #heldElsewhere: (key: string, engine: Engine) => boolean;
+  readonly #isCachedElsewhere: (key: string, engine: Engine) => boolean;
   readonly #onCrash: () => void;
   readonly #waiting: Sequence[] = [];
   #running: Sequence[] = [];
@@ -64,14 +64,17 @@
   constructor(options: {
     settings: EngineSettings;
     loop: EventLoop;
-    /** Whether another live engine holds the prefix; for the measurement only. */
-    heldElsewhere: (key: string, engine: Engine) => boolean;
+    /**
+     * Tells whether another live engine has cached the prefix. Used only to
+     * measure repeated prefill; the simulation does not depend on it.
+     */
+    isCachedElsewhere: (key: string, engine: Engine) => boolean;
     onCrash: () => void;
   }) {
     this.settings = options.settings;
     this.cache = new PrefixCache(options.settings.prefixCacheTokens);
     this.#loop = options.loop;
-    this.#heldElsewhere = options.heldElsewhere;
+    this.#isCachedElsewhere = options.isCachedElsewhere;
     this.#onCrash = options.onCrash;
   }
 
@@ -87,8 +90,8 @@
     return this.#waiting.length;
   }
 
-  /** Makes each step `factor` times as long from the next one on. */
-  slowDown(factor: number): void {
+  /** From the next step on, steps take `factor` times as long. */
+  setSlowdown(factor: number): void {
     this.#slowdown = factor;
   }
 
@@ -97,27 +100,34 @@
       listener.onCrashed();
       return;
     }
-    outcome.dispatches += 1;
+    outcome.dispatchCount += 1;
     this.#waiting.push({
       outcome,
       listener,
-      leftToPrefill: 0,
-      prefillInStep: 0,
-      generated: 0,
+      remainingPrefillTokens: 0,
+      stepPrefillTokens: 0,
+      generatedTokens: 0,
       cancelled: false,
     });
     if (!this.#stepping) this.#startStep();
   }
 
-  /** Drops the request; a running one leaves at the end of the step. */
+  /** Removes the request; a running one is removed at the end of the step. */
   cancel(outcome: Outcome): void {
-    const index = this.#waiting.findIndex((one) => one.outcome === outcome);
+    const index = this.#waiting.findIndex((sequence) =>
+      sequence.outcome === outcome
+    );
     if (index >= 0) this.#waiting.splice(index, 1);
-    const sequence = this.#running.find((one) => one.outcome === outcome);
+    const sequence = this.#running.find((sequence) =>
+      sequence.outcome === outcome
+    );
     if (sequence !== undefined) sequence.cancelled = true;
   }
 
-  /** Dies with all it holds; comes back empty after `restartAfter`, if given. */
+  /**
+   * Crashes: all requests and cached prefixes are lost. The engine restarts
+   * after `restartAfter` milliseconds, or never if that is not given.
+   */
   crash(restartAfter?: number): void {
     if (!this.#alive) return;
     this.#alive = false;
@@ -134,7 +144,7 @@
       if (!sequence.cancelled) sequence.listener.onCrashed();
     }
     if (restartAfter === undefined) return;
-    this.#loop.after(restartAfter, () => {
+    this.#loop.scheduleAfter(restartAfter, () => {
       this.#alive = true;
       this.observer?.onRestarted();
     });
@@ -158,9 +168,9 @@
   #lookUpPrefix(sequence: Sequence): void {
     const { outcome } = sequence;
     const { prefixKey, prefixTokens, promptTokens } = outcome.request;
-    const cached = Math.min(this.cache.use(prefixKey), prefixTokens);
-    sequence.leftToPrefill = Math.max(1, promptTokens - cached);
-    if (cached < prefixTokens && this.#heldElsewhere(prefixKey, this)) {
+    const cached = Math.min(this.cache.get(prefixKey), prefixTokens);
+    sequence.remainingPrefillTokens = Math.max(1, promptTokens - cached);
+    if (cached < prefixTokens && this.#isCachedElsewhere(prefixKey, this)) {
       outcome.repeatedTokens += prefixTokens - cached;
     }
   }
@@ -172,24 +182,28 @@
       return;
     }
     this.#stepping = true;
-    let budget = PREFILL_CHUNK;
-    let decoding = 0;
-    let context = 0;
+    let prefillBudget = MAX_PREFILL_TOKENS_PER_STEP;
+    let decodingSequences = 0;
+    let contextTokens = 0;
     for (const sequence of this.#running) {
-      if (sequence.leftToPrefill > 0) {
-        sequence.prefillInStep = Math.min(budget, sequence.leftToPrefill);
-        budget -= sequence.prefillInStep;
+      if (sequence.remainingPrefillTokens > 0) {
+        sequence.stepPrefillTokens = Math.min(
+          prefillBudget,
+          sequence.remainingPrefillTokens,
+        );
+        prefillBudget -= sequence.stepPrefillTokens;
       } else {
-        decoding += 1;
-        context += sequence.outcome.request.promptTokens + sequence.generated;
+        decodingSequences += 1;
+        contextTokens += sequence.outcome.request.promptTokens +
+          sequence.generatedTokens;
       }
     }
-    const work = STEP_BASE + decoding * STEP_PER_SEQUENCE +
-      (PREFILL_CHUNK - budget) * STEP_PER_PREFILL_TOKEN +
-      context * STEP_PER_CONTEXT_TOKEN;
+    const work = STEP_BASE + decodingSequences * STEP_PER_SEQUENCE +
+      (MAX_PREFILL_TOKENS_PER_STEP - prefillBudget) * STEP_PER_PREFILL_TOKEN +
+      contextTokens * STEP_PER_CONTEXT_TOKEN;
     const duration = work * this.#slowdown / this.settings.speed;
     const incarnation = this.#incarnation;
-    this.#loop.after(duration, () => {
+    this.#loop.scheduleAfter(duration, () => {
       if (incarnation === this.#incarnation) this.#endStep();
     });
   }
@@ -197,64 +211,64 @@
   #endStep(): void {
     const sequences = this.#running;
     this.#running = [];
-    const kept: Sequence[] = [];
+    const continuing: Sequence[] = [];
     const finished: Sequence[] = [];
-    const first: Sequence[] = [];
-    const further: Sequence[] = [];
+    const withFirstToken: Sequence[] = [];
+    const withLaterToken: Sequence[] = [];
     for (const sequence of sequences) {
       if (sequence.cancelled) {
         this.#countPrefill(sequence);
         this.#reservedTokens -= sequenceTokens(sequence);
         continue;
       }
-      const wasPrefilling = sequence.leftToPrefill > 0;
+      const wasPrefilling = sequence.remainingPrefillTokens > 0;
       if (wasPrefilling) this.#countPrefill(sequence);
-      if (sequence.leftToPrefill > 0) {
-        kept.push(sequence);
+      if (sequence.remainingPrefillTokens > 0) {
+        continuing.push(sequence);
         continue;
       }
-      if (wasPrefilling) this.#keepPrefix(sequence);
-      sequence.generated += 1;
-      if (sequence.generated === 1) first.push(sequence);
-      else further.push(sequence);
-      if (sequence.generated >= sequence.outcome.request.outputTokens) {
+      if (wasPrefilling) this.#cachePrefix(sequence);
+      sequence.generatedTokens += 1;
+      if (sequence.generatedTokens === 1) withFirstToken.push(sequence);
+      else withLaterToken.push(sequence);
+      if (sequence.generatedTokens >= sequence.outcome.request.outputTokens) {
         finished.push(sequence);
         this.#reservedTokens -= sequenceTokens(sequence);
-      } else kept.push(sequence);
+      } else continuing.push(sequence);
     }
-    this.#running = kept;
-    for (const sequence of first) sequence.listener.onFirstToken();
-    for (const sequence of further) sequence.listener.onProgress();
+    this.#running = continuing;
+    for (const sequence of withFirstToken) sequence.listener.onFirstToken();
+    for (const sequence of withLaterToken) sequence.listener.onLaterToken();
     for (const sequence of finished) sequence.listener.onFinished();
-    if (kept.some(isCrashing)) {
-      this.crash(ENGINE_RESTART);
+    if (continuing.some(hasReachedCrash)) {
+      this.crash(ENGINE_RESTART_TIME);
       return;
     }
     this.#startStep();
   }
 
   #countPrefill(sequence: Sequence): void {
-    sequence.leftToPrefill -= sequence.prefillInStep;
-    sequence.outcome.prefilledTokens += sequence.prefillInStep;
-    sequence.prefillInStep = 0;
+    sequence.remainingPrefillTokens -= sequence.stepPrefillTokens;
+    sequence.outcome.prefilledTokens += sequence.stepPrefillTokens;
+    sequence.stepPrefillTokens = 0;
   }
 
-  #keepPrefix(sequence: Sequence): void {
+  #cachePrefix(sequence: Sequence): void {
     const { prefixKey, prefixTokens } = sequence.outcome.request;
     if (prefixTokens === 0 || this.cache.has(prefixKey)) return;
     this.cache.add(prefixKey, prefixTokens);
   }
 }
 
-/** Milliseconds that an engine needs to come back after a crash. */
-export const ENGINE_RESTART = 8000;
+/** Milliseconds that an engine takes to restart after a crash. */
+export const ENGINE_RESTART_TIME = 8000;
 
 function sequenceTokens(sequence: Sequence): number {
   const { promptTokens, outputTokens } = sequence.outcome.request;
   return promptTokens + outputTokens;
 }
 
-function isCrashing(sequence: Sequence): boolean {
-  return sequence.outcome.request.crashes &&
-    sequence.generated >= TOKENS_BEFORE_CRASH;
+function hasReachedCrash(sequence: Sequence): boolean {
+  return sequence.outcome.request.crashesEngine &&
+    sequence.generatedTokens >= TOKENS_UNTIL_CRASH;
 }
--- a/benchmarks/src/model/event_loop.ts
+++ b/benchmarks/src/model/event_loop.ts
@@ -1,46 +1,47 @@
 /**
- * Virtual time: actions run in order of their time, ties in order of their
- * scheduling, so that a run depends on nothing but its seed.
+ * Event loop of the simulation, in virtual time. Actions run in order of their
+ * time, and those of the same time in the order in which they were scheduled,
+ * so that a run depends on its seed only.
  * @module
  */
 
-type Event = { time: number; order: number; action: () => void };
+type ScheduledEvent = { time: number; order: number; action: () => void };
 
-function precedes(left: Event, right: Event): boolean {
+function precedes(left: ScheduledEvent, right: ScheduledEvent): boolean {
   if (left.time !== right.time) return left.time < right.time;
   return left.order < right.order;
 }
 
-/** A binary heap of actions and the present time, in milliseconds. */
+/** Runs scheduled actions, which it keeps in a binary heap. */
 export class EventLoop {
   #now = 0;
-  #scheduled = 0;
-  readonly #heap: Event[] = [];
+  #scheduledCount = 0;
+  readonly #heap: ScheduledEvent[] = [];
 
-  /** The present virtual time in milliseconds. */
+  /** The current virtual time in milliseconds. */
   get now(): number {
     return this.#now;
   }
 
-  /** Runs `action` at `time`, or at once when that has passed. */
-  at(time: number, action: () => void): void {
-    this.#scheduled += 1;
+  /** Schedules `action` at `time`, or at the current time if that has passed. */
+  scheduleAt(time: number, action: () => void): void {
+    this.#scheduledCount += 1;
     const event = {
       time: Math.max(time, this.#now),
-      order: this.#scheduled,
+      order: this.#scheduledCount,
       action,
     };
     this.#heap.push(event);
-    this.#rise(this.#heap.length - 1);
+    this.#siftUp(this.#heap.length - 1);
   }
 
-  /** Runs `action` when `delay` milliseconds have passed. */
-  after(delay: number, action: () => void): void {
-    this.at(this.#now + delay, action);
+  /** Schedules `action` in `delay` milliseconds. */
+  scheduleAfter(delay: number, action: () => void): void {
+    this.scheduleAt(this.#now + delay, action);
   }
 
-  /** Runs every action up to `end`; later ones are dropped. */
-  run(end: number): void {
+  /** Runs all actions up to the time `end`; later ones don't run. */
+  runUntil(end: number): void {
     while (true) {
       const event = this.#pop();
       if (event === undefined || event.time > end) return;
@@ -49,18 +50,18 @@
     }
   }
 
-  #pop(): Event | undefined {
+  #pop(): ScheduledEvent | undefined {
     const first = this.#heap[0];
     const last = this.#heap.pop();
     if (first === undefined || last === undefined) return undefined;
     if (this.#heap.length > 0) {
       this.#heap[0] = last;
-      this.#sink();
+      this.#siftDown();
     }
     return first;
   }
 
-  #rise(start: number): void {
+  #siftUp(start: number): void {
     let index = start;
     const event = this.#heap[index]!;
     while (index > 0) {
@@ -72,7 +73,7 @@
     this.#heap[index] = event;
   }
 
-  #sink(): void {
+  #siftDown(): void {
     const heap = this.#heap;
     const event = heap[0]!;
     let index = 0;
--- a/benchmarks/src/model/outcome.ts
+++ b/benchmarks/src/model/outcome.ts
@@ -1,25 +1,26 @@
-/** What became of a request, as its caller and its engines saw it. @module */
+/** The outcome of a request, as recorded by its caller and the engines. @module */
 import type { SimulatedRequest } from "./request.ts";
 
-/** Times are milliseconds of virtual time, tokens are counted at the engines. */
+/** Times are milliseconds of virtual time; tokens are counted by the engines. */
 export type Outcome = {
   request: SimulatedRequest;
-  /** When an engine took it into its batch. */
+  /** When an engine first admitted the request to its batch. */
   startedAt: number | undefined;
   firstTokenAt: number | undefined;
   finishedAt: number | undefined;
-  /** When its caller was told that it will not be answered. */
+  /** When the caller learned that there will be no response, or gave up. */
   refusedAt: number | undefined;
-  /** `undefined` when answered or still unanswered. */
+  /** Why there was no response; `undefined` if there was one or it is pending. */
   reason: string | undefined;
   prefilledTokens: number;
-  /** Prefix tokens prefilled while another live engine held them. */
+  /** Prefix tokens prefilled although another live engine had cached them. */
   repeatedTokens: number;
-  dispatches: number;
+  /** Number of times that the request was submitted to an engine. */
+  dispatchCount: number;
 };
 
-/** An outcome of which nothing is known yet. */
-export function pendingOutcome(request: SimulatedRequest): Outcome {
+/** Creates the outcome of a request that has just arrived. */
+export function createOutcome(request: SimulatedRequest): Outcome {
   return {
     request,
     startedAt: undefined,
@@ -29,11 +30,14 @@
     reason: undefined,
     prefilledTokens: 0,
     repeatedTokens: 0,
-    dispatches: 0,
+    dispatchCount: 0,
   };
 }
 
-/** Answered whole by the deadline, with the first token within its goal. */
+/**
+ * Tells whether the request counts towards goodput: it finished by its deadline
+ * and its first token met its goal.
+ */
 export function isGood(outcome: Outcome): boolean {
   const { request, firstTokenAt, finishedAt } = outcome;
   if (firstTokenAt === undefined || finishedAt === undefined) return false;
--- a/benchmarks/src/model/prefix_cache.ts
+++ b/benchmarks/src/model/prefix_cache.ts
@@ -1,49 +1,49 @@
-/** The engine's memory of prompt prefixes, bounded in tokens. @module */
+/** An engine's cache of prompt prefixes, limited in tokens. @module */
 
-/** Least recently used prefixes go first. */
+/** Evicts the least recently used prefixes first. */
 export class PrefixCache {
   readonly #capacity: number;
-  #held = 0;
-  readonly #tokens = new Map<string, number>();
+  #heldTokens = 0;
+  readonly #tokensByKey = new Map<string, number>();
 
-  /** Holds up to `capacity` tokens. */
+  /** The cache holds up to `capacity` tokens. */
   constructor(capacity: number) {
     this.#capacity = capacity;
   }
 
-  /** Whether the prefix is held, without counting as a use. */
+  /** Tells whether the prefix is cached; does not count as a use. */
   has(key: string): boolean {
-    return this.#tokens.has(key);
+    return this.#tokensByKey.has(key);
   }
 
-  /** Tokens held of the prefix; counts as a use. */
-  use(key: string): number {
-    const tokens = this.#tokens.get(key);
+  /** Returns the tokens cached for the prefix, 0 if none; counts as a use. */
+  get(key: string): number {
+    const tokens = this.#tokensByKey.get(key);
     if (tokens === undefined) return 0;
-    this.#tokens.delete(key);
-    this.#tokens.set(key, tokens);
+    this.#tokensByKey.delete(key);
+    this.#tokensByKey.set(key, tokens);
     return tokens;
   }
 
-  /** Holds the prefix; others go to make room. */
+  /** Adds the prefix, evicting others as needed. Does nothing if it can't fit. */
   add(key: string, tokens: number): void {
     if (tokens > this.#capacity) return;
     this.#remove(key);
-    this.#tokens.set(key, tokens);
-    this.#held += tokens;
-    for (const oldest of this.#tokens.keys()) {
-      if (this.#held <= this.#capacity) break;
+    this.#tokensByKey.set(key, tokens);
+    this.#heldTokens += tokens;
+    for (const oldest of this.#tokensByKey.keys()) {
+      if (this.#heldTokens <= this.#capacity) break;
       this.#remove(oldest);
     }
   }
 
   clear(): void {
-    this.#tokens.clear();
-    this.#held = 0;
+    this.#tokensByKey.clear();
+    this.#heldTokens = 0;
   }
 
   #remove(key: string): void {
-    this.#held -= this.#tokens.get(key) ?? 0;
-    this.#tokens.delete(key);
+    this.#heldTokens -= this.#tokensByKey.get(key) ?? 0;
+    this.#tokensByKey.delete(key);
   }
 }
--- a/benchmarks/src/model/request.ts
+++ b/benchmarks/src/model/request.ts
@@ -1,27 +1,35 @@
-/** A request as the bench knows it: what the caller sends and what it costs. @module */
+/** The simulated requests: what callers send, and what it costs. @module */
 
-/** A kind of request: its tier, goals and typical size. Times are milliseconds. */
+/**
+ * A class of requests: its tier, goals and mean size. Times are milliseconds.
+ */
 export type RequestClass = {
   name: string;
   tier: string;
-  /** 0 is served first. */
+  /** Rank 0 is served first. */
   tierRank: number;
-  /** Share of requests in the deployment's usual mix. */
+  /** Share of the deployment's requests in its usual mix. */
   share: number;
   promptTokens: number;
   outputTokens: number;
-  /** Deviation of the logarithm of both sizes. */
+  /**
+   * Standard deviation of the logarithm of the output tokens and of the prompt
+   * tokens after the prefix.
+   */
   spread: number;
-  /** Tokens of the prompt that other requests begin with as well. */
+  /** Length of the prompt's prefix, which other requests share. */
   prefixTokens: number;
-  /** Number of different prefixes in use. */
+  /** Number of different prefixes. */
   prefixes: number;
   firstTokenGoal: number;
-  /** Time from arrival to the caller's giving up. */
+  /** Time from the arrival until the caller gives up. */
   deadline: number;
 };
 
-/** One arrival. Only `promptTokens` and below `prefixKey` are known to a policy. */
+/**
+ * One arrival. A policy knows neither `prefixTokens` nor `crashesEngine` nor
+ * `counted`, and learns `outputTokens` only from the finished response.
+ */
 export type SimulatedRequest = {
   id: number;
   /** Milliseconds of virtual time. */
@@ -32,13 +40,13 @@
   promptTokens: number;
   prefixKey: string;
   prefixTokens: number;
-  /** Known to the engine only: the answer's length. */
+  /** Length of the response, known in advance to the engine only. */
   outputTokens: number;
   fingerprint: string;
-  /** Kills each engine that has run it for a moment. */
-  crashes: boolean;
-  /** Sendings before this one. */
+  /** Whether the request crashes each engine that runs it for a few tokens. */
+  crashesEngine: boolean;
+  /** Number of times that the request was sent before. */
   attempt: number;
-  /** Arrived after the warm-up, so that it counts. */
-  judged: boolean;
+  /** Whether the request is included in the measures: it arrived after warm-up. */
+  counted: boolean;
 };
--- a/benchmarks/src/policies/baselines.ts
+++ b/benchmarks/src/policies/baselines.ts
@@ -1,18 +1,21 @@
-/** The baselines by the name that the tables give them. @module */
+/** The baselines, under the names that the tables show. @module */
 import type { PolicyFactory } from "../run.ts";
 import { BetterOfTwo } from "./better_of_two.ts";
 import { LeastOutstanding } from "./least_outstanding.ts";
 import { RoundRobin } from "./round_robin.ts";
 
-/** A policy under its name. */
-export type NamedPolicy = { name: string; policy: PolicyFactory };
+/** A policy and its name in the tables. */
+export type NamedPolicy = { name: string; createPolicy: PolicyFactory };
 
-/** See the module. */
+/** All baselines. */
 export const baselines: readonly NamedPolicy[] = [
-  { name: "round robin", policy: (options) => new RoundRobin(options) },
+  { name: "round robin", createPolicy: (options) => new RoundRobin(options) },
   {
     name: "least outstanding",
-    policy: (options) => new LeastOutstanding(options),
+    createPolicy: (options) => new LeastOutstanding(options),
+  },
+  {
+    name: "better of two",
+    createPolicy: (options) => new BetterOfTwo(options),
   },
-  { name: "better of two", policy: (options) => new BetterOfTwo(options) },
 ];
--- a/benchmarks/src/policies/better_of_two.ts
+++ b/benchmarks/src/policies/better_of_two.ts
@@ -1,14 +1,18 @@
 /**
- * Of two engines drawn at random the one with fewer requests: those in its
- * last report and those that this entry has sent since.
+ * Baseline "power of two choices": draws two engines at random and sends to the
+ * one with fewer outstanding requests. These are the requests in the engine's
+ * last report and those that the entry has sent to it since.
  * @module
  */
 import type { Outcome } from "../model/outcome.ts";
-import { Push } from "./push.ts";
+import { PushPolicy } from "./push_policy.ts";
 
-/** See the module. */
-export class BetterOfTwo extends Push {
-  /** Times of the sendings that the engine's report can't know yet. */
+/** Sends each request to the better of two random engines. */
+export class BetterOfTwo extends PushPolicy {
+  /**
+   * Times at which an entry sent requests that the engine's last report does not
+   * include, by entry and engine.
+   */
   readonly #sentAt = new Map<string, number[]>();
 
   protected override choose(candidates: number[], outcome: Outcome): number {
@@ -16,19 +20,20 @@
     const { entry } = outcome.request;
     const first = candidates[random.index(candidates.length)]!;
     const second = candidates[random.index(candidates.length)]!;
-    const better = this.#load(entry, first) <= this.#load(entry, second)
-      ? first
-      : second;
-    this.#recent(entry, better).push(loop.now);
+    const better =
+      this.#outstanding(entry, first) <= this.#outstanding(entry, second)
+        ? first
+        : second;
+    this.#recentSends(entry, better).push(loop.now);
     return better;
   }
 
-  #load(entry: number, engine: number): number {
+  #outstanding(entry: number, engine: number): number {
     const { outstanding } = this.fleet.report(engine);
-    return outstanding + this.#recent(entry, engine).length;
+    return outstanding + this.#recentSends(entry, engine).length;
   }
 
-  #recent(entry: number, engine: number): number[] {
+  #recentSends(entry: number, engine: number): number[] {
     const key = `${entry}/${engine}`;
     const known = this.#sentAt.get(key) ?? [];
     const { takenAt } = this.fleet.report(engine);
--- a/benchmarks/src/policies/entry.ts
+++ b/benchmarks/src/policies/entry.ts
@@ -1,6 +1,7 @@
 /**
- * An entry without its network: it keeps the request, places reservations,
- * hands over to the first grant. The decisions are the product's own.
+ * Simulates an entry without its network. It keeps the request, places
+ * reservations at sidecars and hands the request over to the sidecar that
+ * grants first. The decisions are those of `@sycamorepulley/decisions`.
  * @module
  */
 import {
@@ -15,28 +16,28 @@
 } from "@sycamorepulley/decisions";
 import type { Outcome } from "../model/outcome.ts";
 import { FixedPlan } from "./fixed_plan.ts";
-import type { Pending } from "./pending.ts";
+import type { PendingRequest } from "./pending_request.ts";
 import type { Fleet } from "./fleet.ts";
 import type { LateBindingSettings } from "./late_binding_settings.ts";
 import type { Caller } from "./policy.ts";
-import { shapeOf } from "./request_shape.ts";
-import { SidecarPeer } from "./reservation.ts";
+import { createRequestShape } from "./request_shape.ts";
+import { SidecarMessageHandler } from "./reservation.ts";
 import type { Sidecar } from "./sidecar.ts";
 
-/** See the module. */
-export class Entry extends SidecarPeer {
+/** One simulated entry. */
+export class Entry extends SidecarMessageHandler {
   sidecars: readonly Sidecar[] = [];
   readonly #index: number;
   readonly #fleet: Fleet;
   readonly #caller: Caller;
   readonly #settings: LateBindingSettings;
-  readonly #indexOf = new Map<string, number>();
-  readonly #pending = new Map<string, Pending>();
-  readonly #idOf = new Map<Outcome, string>();
-  readonly #costs = new CostEstimator();
+  readonly #indexByName = new Map<string, number>();
+  readonly #pending = new Map<string, PendingRequest>();
+  readonly #idByOutcome = new Map<Outcome, string>();
+  readonly #costEstimator = new CostEstimator();
   readonly #serviceTimes = new ServiceTimeEstimator();
   readonly #ejection = new OutlierEjection();
-  readonly #retries = new RetryBudget();
+  readonly #retryBudget = new RetryBudget();
   readonly #suspects = new CrashSuspects();
   readonly #servers: BackendServerSet;
 
@@ -58,50 +59,50 @@
         !options.settings.ejection || this.#ejection.allowed(name, now),
     });
     for (const [index, { settings }] of options.fleet.engines.entries()) {
-      this.#indexOf.set(settings.name, index);
+      this.#indexByName.set(settings.name, index);
       this.#servers.add(settings, 0);
       this.#ejection.add(settings.name);
     }
   }
 
-  arrive(outcome: Outcome): void {
+  submit(outcome: Outcome): void {
     const { now } = this.#fleet.loop;
     const { request } = outcome;
     const verdict = this.#suspects.verdict(request.fingerprint, now);
-    if (this.#settings.suspects && verdict.kind === "quarantined") {
-      this.#caller.refused(outcome, "quarantined");
+    if (this.#settings.quarantine && verdict.kind === "quarantined") {
+      this.#caller.notifyRefused(outcome, "quarantined");
       return;
     }
     if (this.#servers.shedsTier(this.#tierRank(outcome), now).sheds) {
-      this.#caller.refused(outcome, "shed_early");
+      this.#caller.notifyRefused(outcome, "shed_early");
       return;
     }
     const id = `${this.#index}/${request.id}/${request.attempt}`;
-    const pending: Pending = {
+    const pending: PendingRequest = {
       id,
       outcome,
-      cost: this.#costs.estimate(shapeOf(outcome)),
-      plan: this.#plan(outcome),
-      suspect: this.#settings.suspects && verdict.kind === "suspect",
+      cost: this.#costEstimator.estimate(createRequestShape(outcome)),
+      plan: this.#createPlan(outcome),
+      suspect: this.#settings.quarantine && verdict.kind === "suspect",
       holders: new Set(),
-      asked: new Set(),
+      tried: new Set(),
       server: undefined,
       handedOverAt: now,
-      firstTokenAfter: undefined,
-      lastReason: "no_server",
+      timeToFirstToken: undefined,
+      lastRefusalReason: "no_server",
     };
     this.#pending.set(id, pending);
-    this.#idOf.set(outcome, id);
-    this.#place(pending);
+    this.#idByOutcome.set(outcome, id);
+    this.#placeReservations(pending);
   }
 
-  abandon(outcome: Outcome): void {
-    const pending = this.#pending.get(this.#idOf.get(outcome) ?? "");
+  cancel(outcome: Outcome): void {
+    const pending = this.#pending.get(this.#idByOutcome.get(outcome) ?? "");
     if (pending === undefined) return;
-    this.#forget(pending);
+    this.#removePending(pending);
     const { id, server } = pending;
     if (server === undefined) {
-      this.#withdrawFrom(pending);
+      this.#withdrawAll(pending);
       return;
     }
     if (pending.suspect) {
@@ -110,7 +111,7 @@
     this.#send(server, (sidecar) => sidecar.cancel(id));
   }
 
-  override granted(id: string, server: number, grant: number): void {
+  override handleGrant(id: string, server: number, grant: number): void {
     const { now } = this.#fleet.loop;
     const pending = this.#pending.get(id);
     const name = this.#nameOf(server);
@@ -123,45 +124,45 @@
       pending.suspect && !this.#suspects.tryStartRun(fingerprint, name, now)
     ) {
       this.#send(server, (sidecar) => sidecar.withdraw(id));
-      this.refused(id, server, "suspect_busy");
+      this.handleRefusal(id, server, "suspect_busy");
       return;
     }
     pending.server = server;
     pending.handedOverAt = now;
     pending.holders.delete(name);
     this.#send(server, (sidecar) => sidecar.handOver(id, this.#index, grant));
-    this.#withdrawFrom(pending);
-    this.#retries.recordSuccess(now);
+    this.#withdrawAll(pending);
+    this.#retryBudget.recordSuccess(now);
     this.#ejection.recordStart(name, now);
   }
 
-  override refused(id: string, server: number, reason: string): void {
+  override handleRefusal(id: string, server: number, reason: string): void {
     const { now } = this.#fleet.loop;
     const pending = this.#pending.get(id);
     if (pending === undefined || pending.server !== undefined) return;
     if (!pending.holders.delete(this.#nameOf(server))) return;
-    pending.lastReason = reason;
-    if (this.#retries.tryTake(now)) {
+    pending.lastRefusalReason = reason;
+    if (this.#retryBudget.tryTake(now)) {
       pending.plan.markLost();
-      this.#place(pending);
+      this.#placeReservations(pending);
     }
-    this.#refuseIfNobodyLeft(pending);
+    this.#refuseIfExhausted(pending);
   }
 
-  override firstToken(id: string, _server: number): void {
+  override handleFirstToken(id: string, _server: number): void {
     const pending = this.#pending.get(id);
     if (pending === undefined) return;
-    pending.firstTokenAfter = this.#fleet.loop.now - pending.handedOverAt;
-    this.#caller.firstToken(pending.outcome);
+    pending.timeToFirstToken = this.#fleet.loop.now - pending.handedOverAt;
+    this.#caller.notifyFirstToken(pending.outcome);
   }
 
-  override finished(id: string, server: number): void {
+  override handleFinished(id: string, server: number): void {
     const { now } = this.#fleet.loop;
     const pending = this.#pending.get(id);
     if (pending === undefined) return;
     const { outcome, cost } = pending;
     const { promptTokens, outputTokens, fingerprint } = outcome.request;
-    const firstToken = pending.firstTokenAfter ?? now - pending.handedOverAt;
+    const firstToken = pending.timeToFirstToken ?? now - pending.handedOverAt;
     const expected = this.#serviceTimes.expectedFirstToken(cost);
     this.#ejection.recordSuccess(
       this.#nameOf(server),
@@ -173,47 +174,53 @@
       firstToken,
       total: now - pending.handedOverAt,
     });
-    this.#costs.observe({ ...shapeOf(outcome), promptTokens, outputTokens });
+    this.#costEstimator.observe({
+      ...createRequestShape(outcome),
+      promptTokens,
+      outputTokens,
+    });
     this.#suspects.recordCleanRun(fingerprint, now);
-    this.#forget(pending);
-    this.#caller.finished(outcome);
+    this.#removePending(pending);
+    this.#caller.notifyFinished(outcome);
   }
 
-  override crashed(fingerprints: readonly string[], server: number): void {
+  override handleCrash(fingerprints: readonly string[], server: number): void {
     const { now } = this.#fleet.loop;
     const name = this.#nameOf(server);
     this.#suspects.recordCrash(fingerprints, name, now);
     this.#ejection.recordFailure(name, "crash", now);
   }
 
-  override failed(id: string, _server: number, reason: string): void {
+  override handleFailure(id: string, _server: number, reason: string): void {
     const pending = this.#pending.get(id);
     if (pending === undefined) return;
-    this.#forget(pending);
-    this.#caller.refused(pending.outcome, reason);
+    this.#removePending(pending);
+    this.#caller.notifyRefused(pending.outcome, reason);
   }
 
-  override observeLoad(server: number, load: ObservedLoad): void {
+  override handleLoad(server: number, load: ObservedLoad): void {
     const { now } = this.#fleet.loop;
     this.#servers.observeLoad(this.#nameOf(server), load, now);
   }
 
-  #plan({ request }: Outcome): ReservationPlan | FixedPlan {
-    const { reservations } = this.#settings;
-    if (reservations !== undefined) return new FixedPlan(reservations);
+  #createPlan({ request }: Outcome): ReservationPlan | FixedPlan {
+    const { fixedReservations } = this.#settings;
+    if (fixedReservations !== undefined) {
+      return new FixedPlan(fixedReservations);
+    }
     return new ReservationPlan({
       prefixKey: this.#settings.prefixAffinity ? request.prefixKey : undefined,
       arrived: request.arrival,
     });
   }
 
-  #place(pending: Pending): void {
+  #placeReservations(pending: PendingRequest): void {
     const { loop, random } = this.#fleet;
-    const { plan, asked, holders, outcome } = pending;
+    const { plan, tried, holders, outcome } = pending;
     const { count, reach } = plan.next(loop.now);
     const names = this.#servers.choose({
       count,
-      exclude: asked,
+      exclude: tried,
       prefixKey: this.#settings.prefixAffinity
         ? outcome.request.prefixKey
         : undefined,
@@ -224,24 +231,24 @@
     });
     if (names.length < count) plan.markLost(count - names.length);
     for (const name of names) {
-      asked.add(name);
+      tried.add(name);
       holders.add(name);
-      this.#reserve(pending, this.#indexOf.get(name)!);
+      this.#reserve(pending, this.#indexByName.get(name)!);
     }
     const { nextAt } = plan;
     if (nextAt === undefined) return;
-    loop.at(nextAt, () => this.#placeMore(pending, nextAt));
+    loop.scheduleAt(nextAt, () => this.#placeNextWave(pending, nextAt));
   }
 
-  /** The next wave, unless it went out already or the request is settled. */
-  #placeMore(pending: Pending, due: number): void {
+  /** Places the next wave, unless it was placed already or a sidecar granted. */
+  #placeNextWave(pending: PendingRequest, due: number): void {
     if (this.#pending.get(pending.id) !== pending) return;
     if (pending.server !== undefined || pending.plan.nextAt !== due) return;
-    this.#place(pending);
-    this.#refuseIfNobodyLeft(pending);
+    this.#placeReservations(pending);
+    this.#refuseIfExhausted(pending);
   }
 
-  #reserve(pending: Pending, server: number): void {
+  #reserve(pending: PendingRequest, server: number): void {
     const { now } = this.#fleet.loop;
     const { request } = pending.outcome;
     const { requestClass, arrival, organisation } = request;
@@ -259,24 +266,27 @@
     this.#send(server, (sidecar) => sidecar.reserve(reservation));
   }
 
-  /** Told at once: no sidecar holds a place and no wave is to come. */
-  #refuseIfNobodyLeft(pending: Pending): void {
+  /**
+   * Refuses the request at once if no sidecar holds a reservation and no further
+   * wave is planned.
+   */
+  #refuseIfExhausted(pending: PendingRequest): void {
     if (pending.holders.size > 0 || pending.plan.nextAt !== undefined) return;
-    this.#forget(pending);
-    this.#caller.refused(pending.outcome, pending.lastReason);
+    this.#removePending(pending);
+    this.#caller.notifyRefused(pending.outcome, pending.lastRefusalReason);
   }
 
-  #withdrawFrom(pending: Pending): void {
+  #withdrawAll(pending: PendingRequest): void {
     for (const name of pending.holders) {
-      const server = this.#indexOf.get(name)!;
+      const server = this.#indexByName.get(name)!;
       this.#send(server, (sidecar) => sidecar.withdraw(pending.id));
     }
     pending.holders.clear();
   }
 
-  #forget(pending: Pending): void {
+  #removePending(pending: PendingRequest): void {
     this.#pending.delete(pending.id);
-    this.#idOf.delete(pending.outcome);
+    this.#idByOutcome.delete(pending.outcome);
   }
 
   #tierRank({ request }: Outcome): number {
--- a/benchmarks/src/policies/fixed_limit.ts
+++ b/benchmarks/src/policies/fixed_limit.ts
@@ -1,11 +1,11 @@
-/** Ablation: a number of sequences set by hand. @module */
+/** Ablation of the adaptive limit: a fixed number of sequences. @module */
 import {
   ConcurrencyLimit,
   type Cost,
   type WaitingReservation,
 } from "@sycamorepulley/decisions";
 
-/** See the module. */
+/** Admits up to a fixed number of requests at a time. */
 export class FixedLimit extends ConcurrencyLimit {
   readonly #limit: number;
   readonly #running = new Set<string>();
--- a/benchmarks/src/policies/fixed_plan.ts
+++ b/benchmarks/src/policies/fixed_plan.ts
@@ -1,25 +1,29 @@
-/** Ablation: the same number of reservations for every request, at once. @module */
+/**
+ * Ablation of the planned waves: every request places the same number of
+ * reservations at once.
+ * @module
+ */
 import type { PlannedReservations } from "@sycamorepulley/decisions";
 
-/** Replacements for refused reservations end here. */
-const MOST_PLACEMENTS = 12;
+/** Maximum number of reservations placed for a request, with replacements. */
+const MAX_PLACEMENTS = 12;
 
-/** Takes the place of a `ReservationPlan`. */
+/** Replaces a `ReservationPlan`. */
 export class FixedPlan {
   readonly nextAt = undefined;
-  readonly #wanted: number;
+  readonly #reservations: number;
   #held = 0;
   #placed = 0;
 
-  constructor(wanted: number) {
-    this.#wanted = wanted;
+  constructor(reservations: number) {
+    this.#reservations = reservations;
   }
 
   next(): PlannedReservations {
-    const missing = this.#wanted - this.#held;
+    const missing = this.#reservations - this.#held;
     const count = Math.max(
       0,
-      Math.min(missing, MOST_PLACEMENTS - this.#placed),
+      Math.min(missing, MAX_PLACEMENTS - this.#placed),
     );
     this.#held += count;
     this.#placed += count;
@@ -35,6 +39,6 @@
   }
 
   get exhausted(): boolean {
-    return this.#held === 0 && this.#placed >= MOST_PLACEMENTS;
+    return this.#held === 0 && this.#placed >= MAX_PLACEMENTS;
   }
 }
--- a/benchmarks/src/policies/fleet.ts
+++ b/benchmarks/src/policies/fleet.ts
@@ -1,29 +1,30 @@
-/** What a policy works with in one run: time, engines and the network's delay. @module */
+/** The simulated fleet: engines, network delays and load reports. @module */
 import type { Engine } from "../model/engine.ts";
 import type { EventLoop } from "../model/event_loop.ts";
 import type { Random } from "../model/random.ts";
 import type { Deployment } from "../workload/deployment.ts";
 
-/** Age of the load reports that entries see, in milliseconds. */
-export const REPORT_AGE = 1000;
-/** Time between load reports, in milliseconds. */
+/** Milliseconds from taking a load report until the entries receive it. */
+export const REPORT_DELAY = 1000;
+/** Milliseconds between the load reports of an engine. */
 const REPORT_INTERVAL = 250;
 
-/** An engine's load as reported some time ago. */
+/** An engine's load at the time `takenAt`. */
 export type LoadReport = {
   alive: boolean;
+  /** Requests that run or wait at the engine. */
   outstanding: number;
   takenAt: number;
 };
 
-/** See the module. */
+/** What a policy has access to in one run. */
 export class Fleet {
   readonly loop: EventLoop;
   readonly engines: readonly Engine[];
   readonly deployment: Deployment;
   readonly random: Random;
   readonly #reports: LoadReport[];
-  /** One-way delay by entry and engine. */
+  /** One-way delays in milliseconds, by entry and engine. */
   readonly #delays: number[][];
 
   constructor(options: {
@@ -41,25 +42,25 @@
       outstanding: 0,
       takenAt: 0,
     }));
-    const { entries, shortestDelay, longestDelay } = options.deployment;
+    const { entries, minDelay, maxDelay } = options.deployment;
     this.#delays = Array.from(
       { length: entries },
-      () =>
-        this.engines.map(() =>
-          options.random.between(shortestDelay, longestDelay)
-        ),
+      () => this.engines.map(() => options.random.between(minDelay, maxDelay)),
     );
     this.#takeReports();
   }
 
-  /** The engine's last report to have arrived. */
+  /** Returns the last report of the engine that has arrived. */
   report(index: number): LoadReport {
     return this.#reports[index]!;
   }
 
-  /** Runs `action` after the one-way delay of the link; links keep order. */
+  /**
+   * Runs `action` after the one-way delay between the entry and the engine.
+   * Actions of the same link keep their order.
+   */
   send(entry: number, engine: number, action: () => void): void {
-    this.loop.after(this.#delays[entry]![engine]!, action);
+    this.loop.scheduleAfter(this.#delays[entry]![engine]!, action);
   }
 
   #takeReports(): void {
@@ -69,10 +70,10 @@
         outstanding: engine.runningCount + engine.waitingCount,
         takenAt: this.loop.now,
       };
-      this.loop.after(REPORT_AGE, () => {
+      this.loop.scheduleAfter(REPORT_DELAY, () => {
         this.#reports[index] = report;
       });
     }
-    this.loop.after(REPORT_INTERVAL, () => this.#takeReports());
+    this.loop.scheduleAfter(REPORT_INTERVAL, () => this.#takeReports());
   }
 }
--- a/benchmarks/src/policies/late_binding.ts
+++ b/benchmarks/src/policies/late_binding.ts
@@ -1,4 +1,8 @@
-/** The project's policy: its decisions, wired as entries and sidecars wire them. @module */
+/**
+ * The project's policy: its decisions, connected in the same way as in the
+ * entry and sidecar processes.
+ * @module
+ */
 import type { Outcome } from "../model/outcome.ts";
 import { Entry } from "./entry.ts";
 import type { Fleet } from "./fleet.ts";
@@ -6,7 +10,7 @@
 import { type Caller, Policy } from "./policy.ts";
 import { Sidecar } from "./sidecar.ts";
 
-/** See the module. */
+/** Binds requests to engines late, by reservations and grants. */
 export class LateBinding extends Policy {
   readonly #entries: Entry[];
 
@@ -27,11 +31,11 @@
     for (const entry of this.#entries) entry.sidecars = sidecars;
   }
 
-  override arrive(outcome: Outcome): void {
-    this.#entries[outcome.request.entry]!.arrive(outcome);
+  override submit(outcome: Outcome): void {
+    this.#entries[outcome.request.entry]!.submit(outcome);
   }
 
-  override abandon(outcome: Outcome): void {
-    this.#entries[outcome.request.entry]!.abandon(outcome);
+  override cancel(outcome: Outcome): void {
+    this.#entries[outcome.request.entry]!.cancel(outcome);
   }
 }
--- a/benchmarks/src/policies/late_binding_settings.ts
+++ b/benchmarks/src/policies/late_binding_settings.ts
@@ -1,27 +1,29 @@
-/** What the ablations turn off, one at a time. @module */
+/** The decisions that the ablations turn off, one at a time. @module */
 
-/** The whole set of decisions is {@link allDecisions}. */
+/** Which decisions are in use; {@link allDecisions} has all of them. */
 export type LateBindingSettings = {
-  /** Reservations placed at once; planned in waves when absent. */
-  reservations: number | undefined;
+  /** Reservations placed at once; `undefined` for planned waves. */
+  fixedReservations: number | undefined;
   tiers: boolean;
   fairQueueing: boolean;
   prefixAffinity: boolean;
-  /** Sequences at once on each engine; adapted when absent. */
+  /** Maximum sequences at each engine; `undefined` for an adaptive limit. */
   fixedLimit: number | undefined;
-  /** Waiting ends when the first token can't come within its goal. */
+  /** Reservations expire when the first token can't meet its goal any more. */
   firstTokenBound: boolean;
-  /** What must fit a deadline is taken longer than the mean. */
+  /** Service times are estimated longer than the mean when checking deadlines. */
   serviceTimeMargin: boolean;
+  /** Failing servers are ejected. */
   ejection: boolean;
-  suspects: boolean;
-  /** Most reservations that wait at one sidecar. */
+  /** Requests that are suspected of crashing engines are quarantined. */
+  quarantine: boolean;
+  /** Maximum number of reservations that wait at one sidecar. */
   queueCapacity: number;
 };
 
-/** See the module. */
+/** All decisions, as in the product. */
 export const allDecisions: LateBindingSettings = {
-  reservations: undefined,
+  fixedReservations: undefined,
   tiers: true,
   fairQueueing: true,
   prefixAffinity: true,
@@ -29,6 +31,6 @@
   firstTokenBound: true,
   serviceTimeMargin: true,
   ejection: true,
-  suspects: true,
+  quarantine: true,
   queueCapacity: 2000,
 };
--- a/benchmarks/src/policies/policy.ts
+++ b/benchmarks/src/policies/policy.ts
@@ -1,18 +1,18 @@
-/** A way of deciding where and when requests run. @module */
+/** Interface of the policies, which decide where and when requests run. @module */
 import type { Outcome } from "../model/outcome.ts";
 
-/** How a policy tells a caller about its request. */
+/** The callers, as a policy notifies them about their requests. */
 export type Caller = {
-  firstToken(outcome: Outcome): void;
-  finished(outcome: Outcome): void;
-  /** The request will not be answered. */
-  refused(outcome: Outcome, reason: string): void;
+  notifyFirstToken(outcome: Outcome): void;
+  notifyFinished(outcome: Outcome): void;
+  /** There will be no response to the request. */
+  notifyRefused(outcome: Outcome, reason: string): void;
 };
 
-/** See the module. */
+/** Base class of all policies. */
 export abstract class Policy {
-  /** A request reached the entry that it names. */
-  abstract arrive(outcome: Outcome): void;
-  /** The caller has given up on the request. */
-  abstract abandon(outcome: Outcome): void;
+  /** Handles a request that has arrived at its entry. */
+  abstract submit(outcome: Outcome): void;
+  /** Cancels a request whose caller has given up. */
+  abstract cancel(outcome: Outcome): void;
 }
--- a/benchmarks/src/policies/request_shape.ts
+++ b/benchmarks/src/policies/request_shape.ts
@@ -1,12 +1,13 @@
-/** A request as the cost estimator knows it. @module */
+/** Describes a simulated request to the cost estimator. @module */
 import type { Outcome } from "../model/outcome.ts";
 
-/** The bench runs one service. */
+/** Name of the only service that is simulated. */
 const SERVICE = "assistant";
+/** Bytes of the request's body per prompt token. */
 const BYTES_PER_TOKEN = 4;
 
-/** What the estimate may depend on. */
-export function shapeOf({ request }: Outcome) {
+/** Returns the properties that the cost estimate may depend on. */
+export function createRequestShape({ request }: Outcome) {
   return {
     service: SERVICE,
     organisation: request.organisation,
--- a/benchmarks/src/policies/reservation.ts
+++ b/benchmarks/src/policies/reservation.ts
@@ -1,32 +1,37 @@
-/** What an entry and a sidecar tell one another in the bench. @module */
+/** Messages between simulated entries and sidecars. @module */
 import type { Cost, ObservedLoad } from "@sycamorepulley/decisions";
 import type { Outcome } from "../model/outcome.ts";
 
-/** A request for a place in a sidecar's queue; durations are milliseconds. */
+/** A reservation that an entry sends to a sidecar. Times are milliseconds. */
 export type Reservation = {
   id: string;
   entry: number;
   tierRank: number;
   organisation: string;
   cost: Cost;
+  /** Time left until the deadline. */
   remaining: number;
-  /** Time left for the first token to come within its goal. */
+  /** Time left until the goal for the first token. */
   firstTokenRemaining: number;
+  /** Whether the request is suspected of crashing engines. */
   suspect: boolean;
-  /** Stands for the body that the entry hands over. */
+  /** Represents the request itself, which the entry hands over on a grant. */
   outcome: Outcome;
 };
 
-/** The sidecar's messages to an entry. */
-export abstract class SidecarPeer {
-  abstract granted(id: string, server: number, grant: number): void;
-  abstract refused(id: string, server: number, reason: string): void;
-  abstract firstToken(id: string, server: number): void;
-  abstract finished(id: string, server: number): void;
-  /** The engine died while it ran these; the entry's own are among them. */
-  abstract crashed(fingerprints: readonly string[], server: number): void;
-  /** The request was handed over and will not be answered. */
-  abstract failed(id: string, server: number, reason: string): void;
-  /** Rides beside each of the others. */
-  abstract observeLoad(server: number, load: ObservedLoad): void;
+/** Handles a sidecar's messages at an entry. */
+export abstract class SidecarMessageHandler {
+  abstract handleGrant(id: string, server: number, grant: number): void;
+  abstract handleRefusal(id: string, server: number, reason: string): void;
+  abstract handleFirstToken(id: string, server: number): void;
+  abstract handleFinished(id: string, server: number): void;
+  /**
+   * The engine crashed while it ran the requests with these fingerprints, which
+   * may come from any entry.
+   */
+  abstract handleCrash(fingerprints: readonly string[], server: number): void;
+  /** The request was handed over, and there will be no response. */
+  abstract handleFailure(id: string, server: number, reason: string): void;
+  /** The load that is sent with each other message. */
+  abstract handleLoad(server: number, load: ObservedLoad): void;
 }
--- a/benchmarks/src/policies/round_robin.ts
+++ b/benchmarks/src/policies/round_robin.ts
@@ -1,9 +1,9 @@
-/** Each entry sends to the engines in turn, whatever their speed. @module */
+/** Baseline in which each entry sends to the engines in turn. @module */
 import type { Outcome } from "../model/outcome.ts";
-import { Push } from "./push.ts";
+import { PushPolicy } from "./push_policy.ts";
 
-/** See the module. */
-export class RoundRobin extends Push {
+/** Sends to the engines in turn, regardless of their speed and load. */
+export class RoundRobin extends PushPolicy {
   readonly #sent = new Map<number, number>();
 
   protected override choose(candidates: number[], outcome: Outcome): number {
--- a/benchmarks/src/policies/sidecar.ts
+++ b/benchmarks/src/policies/sidecar.ts
@@ -1,6 +1,6 @@
 /**
- * The process beside an engine, without its network: grants, queue, limit and
- * estimates are the product's own.
+ * Simulates the sidecar of an engine without its network. Grants, queue, limit
+ * and estimates are those of `@sycamorepulley/decisions`.
  * @module
  */
 import {
@@ -19,12 +19,12 @@
 import { FixedLimit } from "./fixed_limit.ts";
 import type { Fleet } from "./fleet.ts";
 import type { LateBindingSettings } from "./late_binding_settings.ts";
-import type { Reservation, SidecarPeer } from "./reservation.ts";
+import type { Reservation, SidecarMessageHandler } from "./reservation.ts";
 
-/** How often lapsed grants and expired reservations are looked for. */
-const TICK = 25;
+/** Milliseconds between checks for expired grants and reservations. */
+const TICK_INTERVAL = 25;
 
-type Held = {
+type HeldReservation = {
   reservation: Reservation;
   waiting: WaitingReservation;
   running: boolean;
@@ -33,25 +33,25 @@
   tokens: number;
 };
 
-/** See the module. */
+/** One simulated sidecar. */
 export class Sidecar {
   readonly #index: number;
   readonly #fleet: Fleet;
   readonly #engine: Engine;
   readonly #settings: LateBindingSettings;
-  readonly #entries: readonly SidecarPeer[];
-  readonly #held = new Map<string, Held>();
+  readonly #entries: readonly SidecarMessageHandler[];
+  readonly #reservations = new Map<string, HeldReservation>();
   readonly #limit: ConcurrencyLimit;
   readonly #serviceTimes = new ServiceTimeEstimator();
-  readonly #drain = new DrainRate();
+  readonly #drainRate = new DrainRate();
   readonly #queue: WaitingQueue;
-  readonly #desk: ReservationScheduler;
+  readonly #scheduler: ReservationScheduler;
 
   constructor(options: {
     index: number;
     fleet: Fleet;
     settings: LateBindingSettings;
-    entries: readonly SidecarPeer[];
+    entries: readonly SidecarMessageHandler[];
   }) {
     this.#index = options.index;
     this.#fleet = options.fleet;
@@ -66,21 +66,21 @@
       capacity: queueCapacity,
       serviceTimeOf: (cost) => this.#serviceTime(cost),
     });
-    this.#desk = new ReservationScheduler({
+    this.#scheduler = new ReservationScheduler({
       queue: this.#queue,
       limit: this.#limit,
     });
     this.#engine.observer = {
-      onCrashed: () => this.#crashed(),
-      onRestarted: () => this.#restarted(),
+      onCrashed: () => this.#handleCrash(),
+      onRestarted: () => this.#handleRestart(),
     };
     this.#tick();
   }
 
   reserve(reservation: Reservation): void {
     const { now } = this.#fleet.loop;
-    const waiting = this.#waiting(reservation);
-    this.#held.set(reservation.id, {
+    const waiting = this.#createWaiting(reservation);
+    this.#reservations.set(reservation.id, {
       reservation,
       waiting,
       running: false,
@@ -88,62 +88,65 @@
       firstTokenAt: now,
       tokens: 0,
     });
-    this.#carryOut(this.#desk.reserve(waiting, now));
+    this.#applyDecisions(this.#scheduler.reserve(waiting, now));
   }
 
   withdraw(id: string): void {
-    const held = this.#held.get(id);
+    const held = this.#reservations.get(id);
     if (held === undefined || held.running) return;
-    this.#held.delete(id);
-    this.#carryOut(this.#desk.withdraw(id, this.#fleet.loop.now));
+    this.#reservations.delete(id);
+    this.#applyDecisions(this.#scheduler.withdraw(id, this.#fleet.loop.now));
   }
 
   handOver(id: string, entry: number, grant: number): void {
     const { loop } = this.#fleet;
-    const held = this.#held.get(id);
-    if (held === undefined || !this.#desk.redeem(id, grant).valid) {
-      this.#tell(entry, (peer) => peer.failed(id, this.#index, "grant_lapsed"));
+    const held = this.#reservations.get(id);
+    if (held === undefined || !this.#scheduler.redeem(id, grant).valid) {
+      this.#sendToEntry(
+        entry,
+        (peer) => peer.handleFailure(id, this.#index, "grant_lapsed"),
+      );
       return;
     }
     held.running = true;
     held.startedAt = loop.now;
     this.#engine.submit(held.reservation.outcome, {
-      onFirstToken: () => this.#firstToken(held),
-      onProgress: () => {
+      onFirstToken: () => this.#handleFirstToken(held),
+      onLaterToken: () => {
         held.tokens += 1;
-        this.#carryOut(this.#desk.progressed(id, 1, loop.now));
+        this.#applyDecisions(this.#scheduler.progressed(id, 1, loop.now));
       },
-      onFinished: () => this.#finished(held),
-      onCrashed: () => this.#failed(held),
+      onFinished: () => this.#handleFinished(held),
+      onCrashed: () => this.#handleFailure(held),
     });
   }
 
-  /** The caller left. */
+  /** Cancels a running request whose caller has given up. */
   cancel(id: string): void {
-    const held = this.#held.get(id);
+    const held = this.#reservations.get(id);
     if (held === undefined || !held.running) return;
     this.#engine.cancel(held.reservation.outcome);
-    this.#end(held, "cancelled");
+    this.#finishRun(held, "cancelled");
   }
 
   get load(): ObservedLoad {
     const { now } = this.#fleet.loop;
     const work = this.#queue.workAhead(Infinity);
     return {
-      running: this.#desk.occupied,
-      waiting: this.#desk.waiting,
+      running: this.#scheduler.occupied,
+      waiting: this.#scheduler.waiting,
       limit: this.#limit.limit,
-      lowestTierRank: this.#desk.lowestTierRank,
-      expectedWait: this.#drain.expectedWait(work, now),
+      lowestTierRank: this.#scheduler.lowestTierRank,
+      expectedWait: this.#drainRate.expectedWait(work, now),
       healthy: this.#engine.alive,
     };
   }
 
-  #waiting(reservation: Reservation): WaitingReservation {
+  #createWaiting(reservation: Reservation): WaitingReservation {
     const { now } = this.#fleet.loop;
     const { cost, remaining, firstTokenRemaining } = reservation;
     const decoding = this.#serviceTime(cost) - this.#firstTokenTime(cost);
-    const whole = this.#settings.firstTokenBound
+    const timeLeft = this.#settings.firstTokenBound
       ? Math.min(remaining, firstTokenRemaining + decoding)
       : remaining;
     return {
@@ -152,7 +155,7 @@
       organisation: reservation.organisation,
       weight: 1,
       cost,
-      deadline: now + whole,
+      deadline: now + timeLeft,
       suspect: reservation.suspect,
       arrived: now,
     };
@@ -170,36 +173,42 @@
       : this.#serviceTimes.expectedFirstToken(cost);
   }
 
-  #carryOut(decisions: readonly ReservationDecision[]): void {
+  #applyDecisions(decisions: readonly ReservationDecision[]): void {
     for (const decision of decisions) {
       const { id } = decision;
-      const held = this.#held.get(id);
+      const held = this.#reservations.get(id);
       if (held === undefined) continue;
       const { entry } = held.reservation;
       if (decision.kind === "grant") {
         const { grant } = decision;
-        this.#tell(entry, (peer) => peer.granted(id, this.#index, grant));
+        this.#sendToEntry(
+          entry,
+          (peer) => peer.handleGrant(id, this.#index, grant),
+        );
       } else {
-        this.#held.delete(id);
+        this.#reservations.delete(id);
         const { reason } = decision;
-        this.#tell(entry, (peer) => peer.refused(id, this.#index, reason));
+        this.#sendToEntry(
+          entry,
+          (peer) => peer.handleRefusal(id, this.#index, reason),
+        );
       }
     }
   }
 
-  #firstToken(held: Held): void {
+  #handleFirstToken(held: HeldReservation): void {
     const { now } = this.#fleet.loop;
     const { id } = held.waiting;
     held.firstTokenAt = now;
     held.tokens = 1;
-    this.#desk.firstToken(id, now);
-    this.#tell(
+    this.#scheduler.firstToken(id, now);
+    this.#sendToEntry(
       held.reservation.entry,
-      (peer) => peer.firstToken(id, this.#index),
+      (peer) => peer.handleFirstToken(id, this.#index),
     );
   }
 
-  #finished(held: Held): void {
+  #handleFinished(held: HeldReservation): void {
     const { now } = this.#fleet.loop;
     const { id, cost } = held.waiting;
     const actual = {
@@ -212,57 +221,73 @@
       firstToken: held.firstTokenAt - held.startedAt,
       total: now - held.startedAt,
     });
-    this.#drain.observe(actual.promptTokens + actual.outputTokens, now);
-    this.#tell(
+    this.#drainRate.observe(actual.promptTokens + actual.outputTokens, now);
+    this.#sendToEntry(
       held.reservation.entry,
-      (peer) => peer.finished(id, this.#index),
+      (peer) => peer.handleFinished(id, this.#index),
     );
-    this.#end(held, "ok");
+    this.#finishRun(held, "ok");
   }
 
-  #failed(held: Held): void {
+  #handleFailure(held: HeldReservation): void {
     const { id } = held.waiting;
-    this.#tell(
+    this.#sendToEntry(
       held.reservation.entry,
-      (peer) => peer.failed(id, this.#index, "server_crashed"),
+      (peer) => peer.handleFailure(id, this.#index, "server_crashed"),
     );
-    this.#end(held, "failed");
+    this.#finishRun(held, "failed");
   }
 
-  #end(held: Held, outcome: "ok" | "failed" | "cancelled"): void {
+  #finishRun(
+    held: HeldReservation,
+    outcome: "ok" | "failed" | "cancelled",
+  ): void {
     const { id } = held.waiting;
     const { now } = this.#fleet.loop;
-    this.#held.delete(id);
-    this.#carryOut(this.#desk.finished(id, outcome, now));
+    this.#reservations.delete(id);
+    this.#applyDecisions(this.#scheduler.finished(id, outcome, now));
   }
 
-  #crashed(): void {
-    const running = [...this.#held.values()].filter((one) => one.running);
-    const fingerprints = running.map((one) =>
-      one.reservation.outcome.request.fingerprint
+  #handleCrash(): void {
+    const running = [...this.#reservations.values()].filter((held) =>
+      held.running
+    );
+    const fingerprints = running.map((held) =>
+      held.reservation.outcome.request.fingerprint
     );
     for (const index of this.#entries.keys()) {
-      this.#tell(index, (peer) => peer.crashed(fingerprints, this.#index));
+      this.#sendToEntry(
+        index,
+        (peer) => peer.handleCrash(fingerprints, this.#index),
+      );
     }
-    this.#carryOut(this.#desk.close("unhealthy", this.#fleet.loop.now));
+    this.#applyDecisions(
+      this.#scheduler.close("unhealthy", this.#fleet.loop.now),
+    );
   }
 
-  #restarted(): void {
-    this.#desk.open();
-    for (const index of this.#entries.keys()) this.#tell(index, () => {});
+  #handleRestart(): void {
+    this.#scheduler.open();
+    for (const index of this.#entries.keys()) {
+      this.#sendToEntry(index, () => {});
+    }
   }
 
   #tick(): void {
     const { loop } = this.#fleet;
-    this.#carryOut(this.#desk.tick(loop.now));
-    loop.after(TICK, () => this.#tick());
+    this.#applyDecisions(this.#scheduler.tick(loop.now));
+    loop.scheduleAfter(TICK_INTERVAL, () => this.#tick());
   }
 
-  #tell(entry: number, message: (entry: SidecarPeer) => void): void {
+  /** Sends a message to the entry, and the current load with it. */
+  #sendToEntry(
+    entry: number,
+    message: (entry: SidecarMessageHandler) => void,
+  ): void {
     const { load } = this;
     this.#fleet.send(entry, this.#index, () => {
       const peer = this.#entries[entry]!;
-      peer.observeLoad(this.#index, load);
+      peer.handleLoad(this.#index, load);
       message(peer);
     });
   }
--- a/benchmarks/src/policies/variants.ts
+++ b/benchmarks/src/policies/variants.ts
@@ -1,4 +1,4 @@
-/** The project's decisions, whole and with one of them taken away. @module */
+/** The project's policy, with all its decisions and as ablations. @module */
 import type { NamedPolicy } from "./baselines.ts";
 import { LateBinding } from "./late_binding.ts";
 import {
@@ -6,33 +6,33 @@
   type LateBindingSettings,
 } from "./late_binding_settings.ts";
 
-function variant(
+function createVariant(
   name: string,
   change: Partial<LateBindingSettings>,
 ): NamedPolicy {
   const settings = { ...allDecisions, ...change };
   return {
     name,
-    policy: (options) => new LateBinding({ ...options, settings }),
+    createPolicy: (options) => new LateBinding({ ...options, settings }),
   };
 }
 
-/** The whole set. */
-export const decisions: NamedPolicy = variant("decisions", {});
+/** The policy with all decisions. */
+export const allDecisionsPolicy: NamedPolicy = createVariant("decisions", {});
 
-/** The whole set first, then the ablations. */
-export const variants: readonly NamedPolicy[] = [
-  decisions,
-  variant("1 reservation", { reservations: 1 }),
-  variant("2 reservations", { reservations: 2 }),
-  variant("4 reservations", { reservations: 4 }),
-  variant("6 reservations", { reservations: 6 }),
-  variant("no tiers", { tiers: false }),
-  variant("no fair queueing", { fairQueueing: false }),
-  variant("no prefix affinity", { prefixAffinity: false }),
-  variant("limit of 16", { fixedLimit: 16 }),
-  variant("limit of 48", { fixedLimit: 48 }),
-  variant("no first-token bound", { firstTokenBound: false }),
-  variant("mean service times", { serviceTimeMargin: false }),
-  variant("no ejection", { ejection: false }),
+/** The policy with all decisions, followed by its ablations. */
+export const ablationPolicies: readonly NamedPolicy[] = [
+  allDecisionsPolicy,
+  createVariant("1 reservation", { fixedReservations: 1 }),
+  createVariant("2 reservations", { fixedReservations: 2 }),
+  createVariant("4 reservations", { fixedReservations: 4 }),
+  createVariant("6 reservations", { fixedReservations: 6 }),
+  createVariant("no tiers", { tiers: false }),
+  createVariant("no fair queueing", { fairQueueing: false }),
+  createVariant("no prefix affinity", { prefixAffinity: false }),
+  createVariant("limit of 16", { fixedLimit: 16 }),
+  createVariant("limit of 48", { fixedLimit: 48 }),
+  createVariant("no first-token bound", { firstTokenBound: false }),
+  createVariant("mean service times", { serviceTimeMargin: false }),
+  createVariant("no ejection", { ejection: false }),
 ];
--- a/benchmarks/src/report/aim_report.ts
+++ b/benchmarks/src/report/aim_report.ts
@@ -1,110 +1,139 @@
 /**
- * The aim's three figures at twice the capacity, over several seeds: the top
- * tiers' goodput beside what they have alone, all goodput beside the bound, and
- * wasted prefill beside the best baseline's.
+ * Measures the three figures of the project's aim at a load of twice the
+ * capacity, over several seeds: the goodput of the top tiers relative to their
+ * goodput when only they send requests, all goodput relative to the bound, and
+ * wasted prefill relative to that of the best baseline.
  * @module
  */
 import { baselines } from "../policies/baselines.ts";
-import { decisions } from "../policies/variants.ts";
+import { allDecisionsPolicy } from "../policies/variants.ts";
 import type { Deployment } from "../workload/deployment.ts";
 import type { Pattern } from "../workload/pattern.ts";
 import { compare } from "./compare.ts";
 import { type Measures, wasteShare } from "./measures.ts";
 import { type Row, table } from "./table.ts";
 
-/** Shares of 1 for one seed. */
+/** The figures of one seed, as fractions. */
 type Figures = {
-  topKept: number;
-  ofBound: number;
-  ofFreeBound: number;
-  late: number;
-  repeated: number;
-  ofBaselineWaste: number;
+  topGoodputShare: number;
+  tieredBoundShare: number;
+  untieredBoundShare: number;
+  lateShare: number;
+  repeatedShare: number;
+  baselineWasteShare: number;
 };
 
-/** Mean and worst of the seeds for one deployment. */
+/** Returns a table of the mean and worst figures over the seeds. */
 export function aimReport(
   options: { deployment: Deployment; pattern: Pattern; seeds: number[] },
 ): string {
-  const figures = options.seeds.map((seed) => seedFigures(options, seed));
+  const figuresBySeed = options.seeds.map((seed) => measureSeed(options, seed));
   const rows: Row[] = [
-    row("top tiers' goodput / alone", figures, (one) => one.topKept, "least"),
-    row("goodput / bound tier by tier", figures, (one) => one.ofBound, "least"),
-    row(
+    createRow(
+      "top tiers' goodput / alone",
+      figuresBySeed,
+      (figures) => figures.topGoodputShare,
+      "min",
+    ),
+    createRow(
+      "goodput / bound tier by tier",
+      figuresBySeed,
+      (figures) => figures.tieredBoundShare,
+      "min",
+    ),
+    createRow(
       "goodput / bound without tiers",
-      figures,
-      (one) => one.ofFreeBound,
-      "least",
+      figuresBySeed,
+      (figures) => figures.untieredBoundShare,
+      "min",
+    ),
+    createRow(
+      "late prefill / prefill",
+      figuresBySeed,
+      (figures) => figures.lateShare,
+      "max",
     ),
-    row("late prefill / prefill", figures, (one) => one.late, "most"),
-    row("repeated prefill / prefill", figures, (one) => one.repeated, "most"),
-    row(
+    createRow(
+      "repeated prefill / prefill",
+      figuresBySeed,
+      (figures) => figures.repeatedShare,
+      "max",
+    ),
+    createRow(
       "wasted prefill / best baseline's",
-      figures,
-      (one) => one.ofBaselineWaste,
-      "most",
+      figuresBySeed,
+      (figures) => figures.baselineWasteShare,
+      "max",
     ),
   ];
   return table(["%", "aim", "mean", "worst"], rows);
 }
 
+/** The values aimed at, in percent. */
 const AIMS = new Map([
   ["top tiers' goodput / alone", ">= 99"],
   ["goodput / bound tier by tier", ">= 90"],
   ["wasted prefill / best baseline's", "< 10"],
 ]);
 
-function row(
+function createRow(
   name: string,
-  figures: readonly Figures[],
-  figureOf: (one: Figures) => number,
-  worst: "least" | "most",
+  figuresBySeed: readonly Figures[],
+  figureOf: (figures: Figures) => number,
+  worst: "min" | "max",
 ): Row {
-  const values = figures.map(figureOf);
-  const mean = values.reduce((sum, one) => sum + one, 0) / values.length;
-  const extreme = worst === "least" ? Math.min(...values) : Math.max(...values);
-  return [name, AIMS.get(name) ?? "", cell(mean), cell(extreme)];
+  const values = figuresBySeed.map(figureOf);
+  const mean = values.reduce((sum, value) => sum + value, 0) / values.length;
+  const extreme = worst === "min" ? Math.min(...values) : Math.max(...values);
+  return [
+    name,
+    AIMS.get(name) ?? "",
+    formatPercent(mean),
+    formatPercent(extreme),
+  ];
 }
 
-function cell(value: number): string {
+function formatPercent(value: number): string {
   return (100 * value).toFixed(1);
 }
 
-function seedFigures(
+function measureSeed(
   { deployment, pattern }: { deployment: Deployment; pattern: Pattern },
   seed: number,
 ): Figures {
-  const { topRanks } = deployment;
-  const full = compare({
+  const { topTierRanks } = deployment;
+  const overall = compare({
     deployment,
     pattern,
-    policies: [decisions, ...baselines],
+    policies: [allDecisionsPolicy, ...baselines],
     seed,
   });
   const alone = compare({
     deployment,
     pattern,
-    policies: [decisions],
+    policies: [allDecisionsPolicy],
     seed,
-    only: (request) => topRanks.includes(request.requestClass.tierRank),
+    filter: (request) => topTierRanks.includes(request.requestClass.tierRank),
   });
-  const measures = full.lines[0]!.measures;
-  const others = full.lines.slice(1).map((one) => one.measures);
+  const measures = overall.results[0]!.measures;
+  const baselineMeasures = overall.results.slice(1).map((result) =>
+    result.measures
+  );
   let bound = 0;
-  for (const good of full.bounds.byTier.values()) bound += good;
+  for (const good of overall.bounds.byTier.values()) bound += good;
   return {
-    topKept: goodOf(measures, topRanks) /
-      goodOf(alone.lines[0]!.measures, topRanks),
-    ofBound: measures.good / bound,
-    ofFreeBound: measures.good / full.bounds.free,
-    late: measures.lateTokens / measures.prefilledTokens,
-    repeated: measures.repeatedTokens / measures.prefilledTokens,
-    ofBaselineWaste: wasteShare(measures) /
-      Math.min(...others.map(wasteShare)),
+    topGoodputShare: countGood(measures, topTierRanks) /
+      countGood(alone.results[0]!.measures, topTierRanks),
+    tieredBoundShare: measures.good / bound,
+    untieredBoundShare: measures.good / overall.bounds.untiered,
+    lateShare: measures.lateTokens / measures.prefilledTokens,
+    repeatedShare: measures.repeatedTokens / measures.prefilledTokens,
+    baselineWasteShare: wasteShare(measures) /
+      Math.min(...baselineMeasures.map(wasteShare)),
   };
 }
 
-function goodOf(measures: Measures, ranks: readonly number[]): number {
-  return measures.tiers.filter((one) => ranks.includes(one.rank))
-    .reduce((sum, one) => sum + one.good, 0);
+function countGood(measures: Measures, ranks: readonly number[]): number {
+  return measures.tiers.filter((tier) => ranks.includes(tier.rank))
+    .reduce((sum, tier) => sum + tier.good, 0);
 }
--- a/benchmarks/src/report/compare.ts
+++ b/benchmarks/src/report/compare.ts
@@ -1,42 +1,47 @@
-/** Runs policies on the same arrivals and measures them beside the bounds. @module */
+/** Runs several policies on the same arrivals and computes the bounds for these. @module */
 import type { SimulatedRequest } from "../model/request.ts";
 import type { NamedPolicy } from "../policies/baselines.ts";
 import { run } from "../run.ts";
 import type { Deployment } from "../workload/deployment.ts";
 import type { Pattern } from "../workload/pattern.ts";
 import { measure } from "./measures.ts";
-import type { Bounds, Line } from "./pattern_report.ts";
-import { boundByTier, freeBound } from "./upper_bound.ts";
+import type { Bounds, PolicyResult } from "./pattern_report.ts";
+import { boundByTier, untieredBound } from "./upper_bound.ts";
 
-/** See {@link compare}. */
+/** Options of {@link compare}. */
 export type CompareOptions = {
   deployment: Deployment;
   pattern: Pattern;
   policies: readonly NamedPolicy[];
   seed: number;
-  /** Only these arrivals happen. */
-  only?: (request: SimulatedRequest) => boolean;
+  /** Selects the arrivals that are simulated; by default all of them. */
+  filter?: (request: SimulatedRequest) => boolean;
 };
 
-/** One line for each policy, and what was possible. */
+/** Returns the measures of each policy, and the bounds for the counted requests. */
 export function compare(
   options: CompareOptions,
-): { lines: Line[]; bounds: Bounds } {
-  const { deployment, pattern, policies, seed, only } = options;
-  const lines: Line[] = [];
+): { results: PolicyResult[]; bounds: Bounds } {
+  const { deployment, pattern, policies, seed, filter } = options;
+  const results: PolicyResult[] = [];
   let requests: SimulatedRequest[] = [];
-  for (const { name, policy } of policies) {
+  for (const { name, createPolicy } of policies) {
     const { outcomes } = run({
       deployment,
       pattern,
-      policy,
+      createPolicy,
       seed,
-      ...(only === undefined ? {} : { only }),
+      ...(filter === undefined ? {} : { filter }),
     });
-    lines.push({ name, measures: measure(outcomes) });
-    requests = outcomes.map((one) => one.request).filter((one) => one.judged);
+    results.push({ name, measures: measure(outcomes) });
+    requests = outcomes.map((outcome) => outcome.request).filter((request) =>
+      request.counted
+    );
   }
-  const bounded = { deployment, pattern, requests };
-  const bounds = { byTier: boundByTier(bounded), free: freeBound(bounded) };
-  return { lines, bounds };
+  const boundOptions = { deployment, pattern, requests };
+  const bounds = {
+    byTier: boundByTier(boundOptions),
+    untiered: untieredBound(boundOptions),
+  };
+  return { results, bounds };
 }
--- a/benchmarks/src/report/measures.ts
+++ b/benchmarks/src/report/measures.ts
@@ -1,47 +1,54 @@
-/** What callers received in a run, in figures. @module */
+/** Summarises the outcomes of a run. @module */
 import { build as buildHistogram, type Histogram } from "hdr-histogram-js";
 import { isGood, type Outcome } from "../model/outcome.ts";
 import { type Fairness, fairness } from "./fairness.ts";
-import { sheddingViolations } from "./shedding.ts";
+import { countSheddingViolations } from "./shedding.ts";
 
-/** One tier's figures; times are milliseconds. */
+/** Measures of one tier. Times are milliseconds. */
 export type TierMeasures = {
   tier: string;
   rank: number;
   offered: number;
+  /** Number of requests that count towards goodput. */
   good: number;
-  firstTokenMedian: number;
-  firstTokenTail: number;
-  /** Requests that were not answered, by reason. */
+  firstTokenP50: number;
+  firstTokenP99: number;
+  /** Numbers of requests without a response, by reason. */
   reasons: Map<string, number>;
 };
 
-/** A run's figures. Tokens are prompt tokens. */
+/** Measures of a run. Tokens are prompt tokens. */
 export type Measures = {
   tiers: TierMeasures[];
   offered: number;
   good: number;
   prefilledTokens: number;
-  /** Prefilled for requests that were not good. */
+  /** Tokens prefilled for requests that don't count towards goodput. */
   lateTokens: number;
-  /** Prefix tokens prefilled again though another engine held them. */
+  /**
+   * Prefix tokens prefilled although another engine had cached them, for
+   * requests that count towards goodput.
+   */
   repeatedTokens: number;
-  violations: number;
+  sheddingViolations: number;
   fairness: Fairness | undefined;
 };
 
-/** Measures the judged outcomes; crashing requests are never judged. */
+/**
+ * Measures the outcomes of the counted requests. Crashing requests are never
+ * counted.
+ */
 export function measure(all: readonly Outcome[]): Measures {
-  const outcomes = all.filter((one) => one.request.judged);
+  const outcomes = all.filter((outcome) => outcome.request.counted);
   const tiers = measureTiers(outcomes);
   const measures: Measures = {
     tiers,
     offered: outcomes.length,
-    good: tiers.reduce((sum, one) => sum + one.good, 0),
+    good: tiers.reduce((sum, tier) => sum + tier.good, 0),
     prefilledTokens: 0,
     lateTokens: 0,
     repeatedTokens: 0,
-    violations: sheddingViolations(outcomes),
+    sheddingViolations: countSheddingViolations(outcomes),
     fairness: fairness(outcomes),
   };
   for (const outcome of outcomes) {
@@ -52,7 +59,7 @@
   return measures;
 }
 
-/** Prefilled in vain or again, as a share of all that was prefilled. */
+/** Returns late and repeated prefill as a share of all prefill. */
 export function wasteShare(measures: Measures): number {
   const { lateTokens, repeatedTokens, prefilledTokens } = measures;
   return (lateTokens + repeatedTokens) / prefilledTokens;
@@ -62,12 +69,12 @@
   const byTier = new Map<string, Outcome[]>();
   for (const outcome of outcomes) {
     const { tier } = outcome.request.requestClass;
-    const known = byTier.get(tier);
-    if (known === undefined) byTier.set(tier, [outcome]);
-    else known.push(outcome);
+    const group = byTier.get(tier);
+    if (group === undefined) byTier.set(tier, [outcome]);
+    else group.push(outcome);
   }
   return [...byTier.entries()]
-    .map(([tier, one]) => measureTier(tier, one))
+    .map(([tier, tierOutcomes]) => measureTier(tier, tierOutcomes))
     .sort((left, right) => left.rank - right.rank);
 }
 
@@ -75,7 +82,7 @@
   tier: string,
   outcomes: readonly Outcome[],
 ): TierMeasures {
-  const firstTokens = firstTokenTimes();
+  const firstTokens = createHistogram();
   const reasons = new Map<string, number>();
   for (const { request, firstTokenAt, reason } of outcomes) {
     if (firstTokenAt !== undefined) {
@@ -90,13 +97,13 @@
     rank: outcomes[0]!.request.requestClass.tierRank,
     offered: outcomes.length,
     good: outcomes.filter(isGood).length,
-    firstTokenMedian: firstTokens.getValueAtPercentile(50),
-    firstTokenTail: firstTokens.getValueAtPercentile(99),
+    firstTokenP50: firstTokens.getValueAtPercentile(50),
+    firstTokenP99: firstTokens.getValueAtPercentile(99),
     reasons,
   };
 }
 
-function firstTokenTimes(): Histogram {
+function createHistogram(): Histogram {
   return buildHistogram({
     lowestDiscernibleValue: 1,
     highestTrackableValue: 1_000_000,
--- a/benchmarks/src/report/pattern_report.ts
+++ b/benchmarks/src/report/pattern_report.ts
@@ -1,24 +1,36 @@
-/** The tables of one pattern: each policy beside the bounds. @module */
+/** The tables of one pattern: the policies compared with the bounds. @module */
 import type { Measures } from "./measures.ts";
 import { percent, type Row, table } from "./table.ts";
 
-/** A policy's name and its figures. */
-export type Line = { name: string; measures: Measures };
+/** The measures of one policy. */
+export type PolicyResult = { name: string; measures: Measures };
 
-/** Good requests that the bounds allow. */
-export type Bounds = { byTier: Map<string, number>; free: number };
+/** Upper bounds on the number of good requests, by tier and without tiers. */
+export type Bounds = { byTier: Map<string, number>; untiered: number };
 
-/** Goodput by tier, waste, order of shedding and fairness; then delays. */
-export function patternReport(lines: readonly Line[], bounds: Bounds): string {
-  return `${goodputTable(lines, bounds)}\n\n${delayTable(lines)}`;
+/**
+ * Returns the goodput table, followed by tables of the times to first token and
+ * of the reasons for requests without a response.
+ */
+export function patternReport(
+  results: readonly PolicyResult[],
+  bounds: Bounds,
+): string {
+  return `${goodputTable(results, bounds)}\n\n${firstTokenTable(results)}`;
 }
 
-/** Goodput by tier, waste, order of shedding and fairness. */
-export function goodputTable(lines: readonly Line[], bounds: Bounds): string {
-  const tiers = lines[0]!.measures.tiers;
+/**
+ * Returns a table of goodput by tier, wasted prefill, tiers shed out of order
+ * and fairness, with one row per policy and bound.
+ */
+export function goodputTable(
+  results: readonly PolicyResult[],
+  bounds: Bounds,
+): string {
+  const tiers = results[0]!.measures.tiers;
   const heading = [
     "goodput %",
-    ...tiers.map((one) => one.tier),
+    ...tiers.map((tier) => tier.tier),
     "all",
     "late prefill %",
     "repeated prefill %",
@@ -26,60 +38,62 @@
     "Jain",
     "worst share",
   ];
-  const offered = lines[0]!.measures.offered;
+  const offered = results[0]!.measures.offered;
   let total = 0;
-  const boundCells = tiers.map((one) => {
-    const good = bounds.byTier.get(one.tier) ?? 0;
+  const boundCells = tiers.map((tier) => {
+    const good = bounds.byTier.get(tier.tier) ?? 0;
     total += good;
-    return percent(good, one.offered);
+    return percent(good, tier.offered);
   });
-  const rows: Row[] = lines.map(goodputRow);
+  const rows: Row[] = results.map(goodputRow);
   rows.push(["bound, tier by tier", ...boundCells, percent(total, offered)]);
   const none = tiers.map(() => "");
-  rows.push(["bound, no tiers", ...none, percent(bounds.free, offered)]);
+  rows.push(["bound, no tiers", ...none, percent(bounds.untiered, offered)]);
   return table(heading, rows);
 }
 
-function goodputRow({ name, measures }: Line): Row {
+function goodputRow({ name, measures }: PolicyResult): Row {
   const { tiers, fairness, prefilledTokens } = measures;
   return [
     name,
-    ...tiers.map((one) => percent(one.good, one.offered)),
+    ...tiers.map((tier) => percent(tier.good, tier.offered)),
     percent(measures.good, measures.offered),
     percent(measures.lateTokens, prefilledTokens),
     percent(measures.repeatedTokens, prefilledTokens),
-    String(measures.violations),
-    fairness?.jain.toFixed(3) ?? "-",
-    fairness?.worst.toFixed(2) ?? "-",
+    String(measures.sheddingViolations),
+    fairness?.jainIndex.toFixed(3) ?? "-",
+    fairness?.worstRatio.toFixed(2) ?? "-",
   ];
 }
 
-function delayTable(lines: readonly Line[]): string {
-  const tiers = lines[0]!.measures.tiers;
+function firstTokenTable(results: readonly PolicyResult[]): string {
+  const tiers = results[0]!.measures.tiers;
   const heading = [
     "first token p50/p99 ms",
-    ...tiers.map((one) => one.tier),
+    ...tiers.map((tier) => tier.tier),
   ];
-  const rows = lines.map(({ name, measures }) => [
+  const rows = results.map(({ name, measures }) => [
     name,
-    ...measures.tiers.map((one) =>
-      `${one.firstTokenMedian}/${one.firstTokenTail}`
+    ...measures.tiers.map((tier) =>
+      `${tier.firstTokenP50}/${tier.firstTokenP99}`
     ),
   ]);
-  return `${table(heading, rows)}\n\n${reasonTable(lines)}`;
+  return `${table(heading, rows)}\n\n${reasonTable(results)}`;
 }
 
-function reasonTable(lines: readonly Line[]): string {
-  const tiers = lines[0]!.measures.tiers;
+function reasonTable(results: readonly PolicyResult[]): string {
+  const tiers = results[0]!.measures.tiers;
   const rows: Row[] = [];
-  for (const { name, measures } of lines) {
+  for (const { name, measures } of results) {
     const reasons = new Set(
-      measures.tiers.flatMap((one) => [...one.reasons.keys()]),
+      measures.tiers.flatMap((tier) => [...tier.reasons.keys()]),
     );
     for (const reason of [...reasons].sort()) {
-      const counts = measures.tiers.map((one) => one.reasons.get(reason) ?? 0);
+      const counts = measures.tiers.map((tier) =>
+        tier.reasons.get(reason) ?? 0
+      );
       rows.push([`${name}: ${reason}`, ...counts.map(String)]);
     }
   }
-  return table(["not answered", ...tiers.map((one) => one.tier)], rows);
+  return table(["not answered", ...tiers.map((tier) => tier.tier)], rows);
 }
--- a/benchmarks/src/report/shedding.ts
+++ b/benchmarks/src/report/shedding.ts
@@ -1,26 +1,33 @@
-/** Checks the order in which tiers were shed. @module */
+/** Checks that lower tiers were shed before higher ones. @module */
 import type { Outcome } from "../model/outcome.ts";
 
-/** Messages on their way may cross; starts later than this are decisions. */
-const CROSSING = 5;
+/**
+ * Milliseconds after the arrival and before the refusal of a request in which
+ * the start of another one is no violation, since messages in flight may cross.
+ */
+const IN_FLIGHT_TOLERANCE = 5;
 
 /**
- * Requests that ended without having run although, while they waited, a request
- * of a lower tier was started. Where engines are unlike, this counts also those
- * that no engine with room could have answered in time.
+ * Counts requests that ended without being started although a request of a
+ * lower tier was started while they waited. If engines differ in speed, this
+ * includes requests that no engine with free capacity could have completed in
+ * time.
  */
-export function sheddingViolations(outcomes: readonly Outcome[]): number {
+export function countSheddingViolations(outcomes: readonly Outcome[]): number {
   const ranks = [...new Set(outcomes.map(rankOf))].sort((a, b) => a - b);
   let violations = 0;
   for (const rank of ranks) {
-    const starts = outcomes.filter((one) => rankOf(one) > rank)
-      .flatMap((one) => one.startedAt ?? [])
+    const starts = outcomes.filter((outcome) => rankOf(outcome) > rank)
+      .flatMap((outcome) => outcome.startedAt ?? [])
       .sort((a, b) => a - b);
     for (const outcome of outcomes) {
       if (rankOf(outcome) !== rank || outcome.startedAt !== undefined) continue;
       if (outcome.refusedAt === undefined) continue;
-      const next = firstAfter(starts, outcome.request.arrival + CROSSING);
-      if (next < outcome.refusedAt - CROSSING) violations += 1;
+      const next = firstAfter(
+        starts,
+        outcome.request.arrival + IN_FLIGHT_TOLERANCE,
+      );
+      if (next < outcome.refusedAt - IN_FLIGHT_TOLERANCE) violations += 1;
     }
   }
   return violations;
@@ -30,7 +37,7 @@
   return outcome.request.requestClass.tierRank;
 }
 
-/** The first of the sorted times that is later; Infinity if none is. */
+/** Returns the first of the sorted times after `time`, Infinity if none is. */
 function firstAfter(times: readonly number[], time: number): number {
   let low = 0;
   let high = times.length;
--- a/benchmarks/src/report/table.ts
+++ b/benchmarks/src/report/table.ts
@@ -1,9 +1,9 @@
-/** Markdown tables, padded so that they read well in a terminal too. @module */
+/** Formats Markdown tables, padded for reading in a terminal as well. @module */
 
-/** One line of cells, each as text. */
+/** The cells of one row. */
 export type Row = string[];
 
-/** The table with its heading; the first column is set left, others right. */
+/** Formats a table; the first column is left-aligned, the others right-aligned. */
 export function table(heading: Row, rows: readonly Row[]): string {
   const widths = heading.map((title, column) =>
     Math.max(title.length, ...rows.map((row) => row[column]?.length ?? 0))
@@ -22,7 +22,7 @@
   return `| ${cells.join(" | ")} |`;
 }
 
-/** A share as a percentage with one decimal. */
+/** Formats `part / whole` as a percentage; "-" if `whole` is 0. */
 export function percent(part: number, whole: number): string {
   return whole === 0 ? "-" : (100 * part / whole).toFixed(1);
 }
--- a/benchmarks/src/run.ts
+++ b/benchmarks/src/run.ts
@@ -1,7 +1,7 @@
-/** One run: a deployment, a pattern, a policy and a seed. @module */
+/** Simulates one run of a policy on a deployment with a load pattern. @module */
 import { Engine } from "./model/engine.ts";
 import { EventLoop } from "./model/event_loop.ts";
-import { type Outcome, pendingOutcome } from "./model/outcome.ts";
+import { createOutcome, type Outcome } from "./model/outcome.ts";
 import { Random } from "./model/random.ts";
 import type { SimulatedRequest } from "./model/request.ts";
 import { Fleet } from "./policies/fleet.ts";
@@ -10,38 +10,41 @@
 import type { Deployment } from "./workload/deployment.ts";
 import type { EngineEvent, Pattern } from "./workload/pattern.ts";
 
-/** Time from an error to the caller's next sending, in milliseconds. */
-const RESEND_AFTER = 1000;
+/** Milliseconds after an error until the caller retries. */
+const RETRY_DELAY = 1000;
 
-/** Builds the policy under test for one run. */
+/** Creates the policy under test for one run. */
 export type PolicyFactory = (
   options: { fleet: Fleet; caller: Caller },
 ) => Policy;
 
-/** See the module. */
+/** What to simulate. */
 export type RunOptions = {
   deployment: Deployment;
   pattern: Pattern;
-  policy: PolicyFactory;
+  createPolicy: PolicyFactory;
   seed: number;
-  /** Only these arrivals happen, for a tier's goodput when it is alone. */
-  only?: (request: SimulatedRequest) => boolean;
+  /**
+   * Selects the arrivals that are simulated, for instance to measure the
+   * goodput of a tier on its own; by default all of them.
+   */
+  filter?: (request: SimulatedRequest) => boolean;
 };
 
-/** What happened in a run. */
+/** Result of a run. */
 export type RunResult = {
   outcomes: Outcome[];
-  /** Times that an engine died. */
+  /** Number of engine crashes. */
   crashes: number;
 };
 
-/** Runs the arrivals to their ends in virtual time. */
+/** Simulates all arrivals in virtual time until they have ended. */
 export function run(options: RunOptions): RunResult {
   const { deployment, pattern, seed } = options;
   const loop = new EventLoop();
   const random = new Random(seed);
   const arrivals = drawArrivals({ deployment, pattern, random })
-    .filter(options.only ?? (() => true));
+    .filter(options.filter ?? (() => true));
   const result: RunResult = { outcomes: [], crashes: 0 };
   const engines = createEngines(deployment, loop, result);
   for (const event of pattern.engineEvents ?? []) {
@@ -53,16 +56,16 @@
     deployment,
     random: new Random(seed + 1),
   });
-  const callers = new Callers({ loop, pattern, result });
-  callers.policy = options.policy({ fleet, caller: callers });
+  const callers = new SimulatedCallers({ loop, pattern, result });
+  callers.policy = options.createPolicy({ fleet, caller: callers });
   for (const request of arrivals) {
-    loop.at(request.arrival, () => callers.send(request));
+    loop.scheduleAt(request.arrival, () => callers.send(request));
   }
-  loop.run(lastDeadline(arrivals) + RESEND_AFTER * 10);
+  loop.runUntil(latestDeadline(arrivals) + RETRY_DELAY * 10);
   return result;
 }
 
-function lastDeadline(arrivals: readonly SimulatedRequest[]): number {
+function latestDeadline(arrivals: readonly SimulatedRequest[]): number {
   let last = 0;
   for (const { arrival, requestClass } of arrivals) {
     last = Math.max(last, arrival + requestClass.deadline);
@@ -76,9 +79,9 @@
   result: RunResult,
 ): Engine[] {
   const engines: Engine[] = [];
-  function heldElsewhere(key: string, engine: Engine): boolean {
-    return engines.some((one) =>
-      one !== engine && one.alive && one.cache.has(key)
+  function isCachedElsewhere(key: string, engine: Engine): boolean {
+    return engines.some((other) =>
+      other !== engine && other.alive && other.cache.has(key)
     );
   }
   for (const settings of deployment.engines) {
@@ -86,7 +89,7 @@
       new Engine({
         settings,
         loop,
-        heldElsewhere,
+        isCachedElsewhere,
         onCrash: () => result.crashes += 1,
       }),
     );
@@ -108,60 +111,63 @@
   const engine = fastestFirst[event.engine]!;
   const { horizon } = deployment;
   if (event.kind === "lost") {
-    loop.at(event.at * horizon, () => engine.crash());
+    loop.scheduleAt(event.at * horizon, () => engine.crash());
     return;
   }
-  loop.at(event.from * horizon, () => engine.slowDown(event.factor));
-  loop.at(event.to * horizon, () => engine.slowDown(1));
+  loop.scheduleAt(event.from * horizon, () => engine.setSlowdown(event.factor));
+  loop.scheduleAt(event.to * horizon, () => engine.setSlowdown(1));
 }
 
-/** The callers: they note what they receive, give up, and may send again. */
-class Callers implements Caller {
+/**
+ * The callers, which record what they receive and give up at their deadline.
+ * They retry crashing requests only.
+ */
+class SimulatedCallers implements Caller {
   policy: Policy | undefined;
   readonly #loop: EventLoop;
-  readonly #resends: number;
+  readonly #retries: number;
   readonly #result: RunResult;
 
   constructor(
     options: { loop: EventLoop; pattern: Pattern; result: RunResult },
   ) {
     this.#loop = options.loop;
-    this.#resends = options.pattern.crashingRequest?.resends ?? 0;
+    this.#retries = options.pattern.crashingRequest?.retries ?? 0;
     this.#result = options.result;
   }
 
   send(request: SimulatedRequest): void {
-    const outcome = pendingOutcome(request);
+    const outcome = createOutcome(request);
     this.#result.outcomes.push(outcome);
-    this.policy!.arrive(outcome);
-    this.#loop.after(request.requestClass.deadline, () => {
+    this.policy!.submit(outcome);
+    this.#loop.scheduleAfter(request.requestClass.deadline, () => {
       if (isSettled(outcome)) return;
       outcome.refusedAt = this.#loop.now;
       outcome.reason = "caller_left";
-      this.policy!.abandon(outcome);
+      this.policy!.cancel(outcome);
     });
   }
 
-  firstToken(outcome: Outcome): void {
+  notifyFirstToken(outcome: Outcome): void {
     if (!isSettled(outcome)) outcome.firstTokenAt ??= this.#loop.now;
   }
 
-  finished(outcome: Outcome): void {
+  notifyFinished(outcome: Outcome): void {
     if (!isSettled(outcome)) outcome.finishedAt = this.#loop.now;
   }
 
-  refused(outcome: Outcome, reason: string): void {
+  notifyRefused(outcome: Outcome, reason: string): void {
     if (isSettled(outcome)) return;
     outcome.refusedAt = this.#loop.now;
     outcome.reason = reason;
     const { request } = outcome;
-    if (!request.crashes || request.attempt >= this.#resends) return;
-    const resent = {
+    if (!request.crashesEngine || request.attempt >= this.#retries) return;
+    const retry = {
       ...request,
-      arrival: this.#loop.now + RESEND_AFTER,
+      arrival: this.#loop.now + RETRY_DELAY,
       attempt: request.attempt + 1,
     };
-    this.#loop.after(RESEND_AFTER, () => this.send(resent));
+    this.#loop.scheduleAfter(RETRY_DELAY, () => this.send(retry));
   }
 }
 
--- a/benchmarks/src/sections.ts
+++ b/benchmarks/src/sections.ts
@@ -1,6 +1,10 @@
-/** The bench's sections as text; each depends on its arguments only. @module */
+/**
+ * The sections of the simulation benchmark, as Markdown. A section depends on
+ * its arguments only.
+ * @module
+ */
 import { baselines } from "./policies/baselines.ts";
-import { decisions } from "./policies/variants.ts";
+import { allDecisionsPolicy } from "./policies/variants.ts";
 import { ablationReport } from "./report/ablation_report.ts";
 import { aimReport } from "./report/aim_report.ts";
 import { compare } from "./report/compare.ts";
@@ -8,37 +12,37 @@
 import { type Deployment, withEqualSpeeds } from "./workload/deployment.ts";
 import { type Pattern, patterns } from "./workload/pattern.ts";
 
-/** What to run. */
+/** What to simulate in a section. */
 export type SectionOptions = {
   deployments: readonly Deployment[];
   patterns: readonly Pattern[];
   seed: number;
 };
 
-/** Seeds of the aim's figures, counted from the given one. */
+/** Number of consecutive seeds for the figures of the aim section. */
 const AIM_SEEDS = 5;
-/** Patterns in which an ablation has something to show. */
+/** The patterns on which at least one ablation makes a difference. */
 const ABLATION_PATTERNS = ["hot-organisation", "slow-engine", "overload-2"];
 
-/** Every policy on each pattern. */
+/** Compares all baselines and the project's policy on each pattern. */
 export function* patternSection(options: SectionOptions): Generator<string> {
   for (const deployment of options.deployments) {
     for (const pattern of options.patterns) {
-      const { lines, bounds } = compare({
+      const { results, bounds } = compare({
         deployment,
         pattern,
-        policies: [...baselines, decisions],
+        policies: [...baselines, allDecisionsPolicy],
         seed: options.seed,
       });
       yield `### ${deployment.name}: ${pattern.name}\n\n` +
-        patternReport(lines, bounds);
+        patternReport(results, bounds);
     }
   }
 }
 
-/** The aim's figures at twice the capacity. */
+/** Measures the figures of the project's aim at a load of twice the capacity. */
 export function* aimSection(options: SectionOptions): Generator<string> {
-  const pattern = patternNamed("overload-2");
+  const pattern = findPattern("overload-2");
   const seeds = Array.from(
     { length: AIM_SEEDS },
     (_, index) => options.seed + index,
@@ -47,15 +51,15 @@
     yield `### ${deployment.name}: the aim, seeds ${seeds.join(", ")}\n\n` +
       aimReport({ deployment, pattern, seeds });
     yield `### ${deployment.name}: overload-2 with engines of one speed\n\n` +
-      controlReport(withEqualSpeeds(deployment), pattern, options.seed);
+      equalSpeedsReport(withEqualSpeeds(deployment), pattern, options.seed);
   }
 }
 
-/** The decisions without one of them, on the patterns that it answers. */
+/** Compares the project's policy with its ablations on the patterns for these. */
 export function* ablationSection(options: SectionOptions): Generator<string> {
   for (const deployment of options.deployments) {
     for (const name of ABLATION_PATTERNS) {
-      const pattern = patternNamed(name);
+      const pattern = findPattern(name);
       if (!options.patterns.includes(pattern)) continue;
       yield `### ${deployment.name}: ${name}, ablations\n\n` +
         ablationReport({ deployment, pattern, seed: options.seed });
@@ -63,17 +67,20 @@
   }
 }
 
-/** Whether tiers are shed out of order for another cause than unlike engines. */
-function controlReport(
+/**
+ * Reports on engines of equal speed, which shows whether tiers are shed out of
+ * order for another reason than engines of different speed.
+ */
+function equalSpeedsReport(
   deployment: Deployment,
   pattern: Pattern,
   seed: number,
 ): string {
-  const policies = [decisions];
-  const { lines, bounds } = compare({ deployment, pattern, policies, seed });
-  return goodputTable(lines, bounds);
+  const policies = [allDecisionsPolicy];
+  const { results, bounds } = compare({ deployment, pattern, policies, seed });
+  return goodputTable(results, bounds);
 }
 
-function patternNamed(name: string): Pattern {
-  return patterns.find((one) => one.name === name)!;
+function findPattern(name: string): Pattern {
+  return patterns.find((pattern) => pattern.name === name)!;
 }
--- a/benchmarks/src/workload/arrivals.ts
+++ b/benchmarks/src/workload/arrivals.ts
@@ -1,38 +1,49 @@
-/** Draws the arrivals of a run, the same for every policy. @module */
+/** Draws the arrivals of a run, which are the same for all policies. @module */
 import type { Random } from "../model/random.ts";
 import type { RequestClass, SimulatedRequest } from "../model/request.ts";
-import { capacity, type Deployment, withLongWork } from "./deployment.ts";
+import {
+  type Deployment,
+  maxRequestRate,
+  withLongWorkShare,
+} from "./deployment.ts";
 import type { Pattern } from "./pattern.ts";
 
-/** Zipf exponent of the prefixes' popularity. */
+/** Exponent of the Zipf distribution of prefix popularity. */
 const PREFIX_SKEW = 0.8;
 
 type Options = { deployment: Deployment; pattern: Pattern; random: Random };
 
-/** Arrivals in order of their time. */
+/**
+ * Draws the arrivals in order of time. Those of a class are a Poisson process;
+ * a class with a burst is drawn at the rate of the burst and thinned outside it.
+ */
 export function drawArrivals(options: Options): SimulatedRequest[] {
   const { deployment, pattern, random } = options;
-  const classes = pattern.longWork === undefined
+  const classes = pattern.longWorkShare === undefined
     ? deployment.classes
-    : withLongWork(deployment, pattern.longWork);
-  const usualRate = pattern.load * capacity(deployment, classes);
-  const total = classes.reduce((sum, one) => sum + one.share, 0);
+    : withLongWorkShare(deployment, pattern.longWorkShare);
+  const usualRate = pattern.load * maxRequestRate(deployment, classes);
+  const total = classes.reduce(
+    (sum, requestClass) => sum + requestClass.share,
+    0,
+  );
   const arrivals: SimulatedRequest[] = [];
   for (const requestClass of classes) {
     const rate = usualRate * requestClass.share / total;
-    const peak = pattern.burst?.ranks.includes(requestClass.tierRank)
+    const peakFactor = pattern.burst?.ranks.includes(requestClass.tierRank)
       ? pattern.burst.factor
       : 1;
     let time = 0;
     while (true) {
-      time += random.exponential(1 / (rate * peak));
+      time += random.exponential(1 / (rate * peakFactor));
       if (time >= deployment.horizon) break;
-      const thinned = random.uniform() * peak >= factorAt(time, peak, options);
+      const thinned = random.uniform() * peakFactor >=
+        burstFactorAt(time, peakFactor, options);
       if (!thinned) arrivals.push(drawRequest(time, requestClass, options));
     }
   }
   if (pattern.crashingRequest !== undefined) {
-    arrivals.push(crashingRequest(options, pattern.crashingRequest.at));
+    arrivals.push(drawCrashingRequest(options, pattern.crashingRequest.at));
   }
   arrivals.sort((left, right) => left.arrival - right.arrival);
   for (const [index, request] of arrivals.entries()) {
@@ -42,11 +53,15 @@
   return arrivals;
 }
 
-function factorAt(time: number, peak: number, options: Options): number {
+function burstFactorAt(
+  time: number,
+  peakFactor: number,
+  options: Options,
+): number {
   const { burst } = options.pattern;
   if (burst === undefined) return 1;
-  const share = time / options.deployment.horizon;
-  return share >= burst.from && share < burst.to ? peak : 1;
+  const fraction = time / options.deployment.horizon;
+  return fraction >= burst.from && fraction < burst.to ? peakFactor : 1;
 }
 
 function drawRequest(
@@ -70,32 +85,34 @@
     prefixTokens,
     outputTokens: Math.max(2, Math.round(output)),
     fingerprint: "",
-    crashes: false,
+    crashesEngine: false,
     attempt: 0,
-    judged: arrival >= deployment.warmUp,
+    counted: arrival >= deployment.warmUp,
   };
 }
 
 function drawOrganisation(options: Options): string {
   const { deployment, pattern, random } = options;
   const { organisations } = deployment;
-  const hot = pattern.hotOrganisation;
-  const even = hot === undefined ? 0 : (1 - hot) / (organisations.length - 1);
-  const weights = organisations.map((one, index) => {
-    if (hot === undefined) return one.share;
-    return index === 0 ? hot : even;
+  const hotShare = pattern.hotOrganisationShare;
+  const otherShare = hotShare === undefined
+    ? 0
+    : (1 - hotShare) / (organisations.length - 1);
+  const weights = organisations.map((organisation, index) => {
+    if (hotShare === undefined) return organisation.share;
+    return index === 0 ? hotShare : otherShare;
   });
-  return organisations[random.weighted(weights)]!.name;
+  return organisations[random.weightedIndex(weights)]!.name;
 }
 
 function drawPrefix(requestClass: RequestClass, options: Options): string {
   const { pattern, random } = options;
-  const hot = pattern.hotPrefix !== undefined &&
-    random.uniform() < pattern.hotPrefix;
+  const isHot = pattern.hotPrefixShare !== undefined &&
+    random.uniform() < pattern.hotPrefixShare;
   const { name, prefixes } = requestClass;
-  if (hot) return `${name}/hot`;
+  if (isHot) return `${name}/hot`;
   const weights = prefixWeights(prefixes);
-  return `${name}/${random.weighted(weights)}`;
+  return `${name}/${random.weightedIndex(weights)}`;
 }
 
 const weightsByCount = new Map<number, number[]>();
@@ -111,13 +128,13 @@
   return weights;
 }
 
-function crashingRequest(options: Options, at: number): SimulatedRequest {
+function drawCrashingRequest(options: Options, at: number): SimulatedRequest {
   const { deployment } = options;
   const requestClass = deployment.classes[1]!;
   const request = drawRequest(at * deployment.horizon, requestClass, options);
   request.fingerprint = "crashing-request";
   request.outputTokens = Math.max(10, request.outputTokens);
-  request.crashes = true;
-  request.judged = false;
+  request.crashesEngine = true;
+  request.counted = false;
   return request;
 }
--- a/benchmarks/src/workload/collective.ts
+++ b/benchmarks/src/workload/collective.ts
@@ -1,10 +1,10 @@
-/** The Collective's quote drafting: 6 engines in four data centres. @module */
+/** Deployment for drafting quotes: 6 engines in four data centres. @module */
 import type { RequestClass } from "../model/request.ts";
-import { type Deployment, engines } from "./deployment.ts";
+import { createEngineSettings, type Deployment } from "./deployment.ts";
 
 const SECOND = 1000;
 
-/** About a hundred times the work of an identification. */
+/** A quote takes about a hundred times the work of an identification. */
 const quotes: RequestClass = {
   name: "restoration quote",
   tier: "quotes",
@@ -61,10 +61,10 @@
   deadline: 30 * SECOND,
 };
 
-/** See the module. */
+/** The deployment that the command line names `collective`. */
 export const collective: Deployment = {
   name: "collective",
-  engines: engines({
+  engines: createEngineSettings({
     prefix: "quotes",
     speeds: [0.4, 0.7, 1, 1.3, 1.8, 2.5],
     dataCentres: 4,
@@ -79,9 +79,9 @@
     { name: "private-owners", share: 0.06 },
   ],
   entries: 3,
-  topRanks: [0, 1],
+  topTierRanks: [0, 1],
   horizon: 240 * SECOND,
   warmUp: 40 * SECOND,
-  shortestDelay: 0.5,
-  longestDelay: 2,
+  minDelay: 0.5,
+  maxDelay: 2,
 };
--- a/benchmarks/src/workload/deployment.ts
+++ b/benchmarks/src/workload/deployment.ts
@@ -1,78 +1,88 @@
-/** A deployment of the brief's size: engines, request classes, organisations. @module */
+/** Describes deployments: engines, request classes and organisations. @module */
 import { type EngineSettings, typicalWork } from "../model/engine_settings.ts";
 import type { RequestClass } from "../model/request.ts";
 
-/** Times are milliseconds. */
+/** A deployment to simulate. Times are milliseconds. */
 export type Deployment = {
   name: string;
   engines: EngineSettings[];
   classes: RequestClass[];
-  /** The kind of request that holds up the short ones. */
+  /** The class of long requests, which delay the short ones. */
   longClass: RequestClass;
   organisations: Organisation[];
   entries: number;
   /** Ranks of the tiers that must keep their goodput under overload. */
-  topRanks: number[];
-  /** Length of a run's arrivals. */
+  topTierRanks: number[];
+  /** Time during which requests arrive. */
   horizon: number;
-  /** Arrivals before this are run but not judged. */
+  /** Arrivals before this time are simulated but not measured. */
   warmUp: number;
-  /** One-way delay between an entry and a sidecar. */
-  shortestDelay: number;
-  longestDelay: number;
+  /** Minimum one-way delay between an entry and a sidecar. */
+  minDelay: number;
+  /** Maximum one-way delay between an entry and a sidecar. */
+  maxDelay: number;
 };
 
-/** A customer and its share of the usual arrivals. */
+/** An organisation and its share of the usual arrivals. */
 export type Organisation = { name: string; share: number };
 
-/** Work (milliseconds at speed 1) of the mix's average request. */
+/** Returns the mean work of a request of the mix, in milliseconds at speed 1. */
 export function meanWork(classes: readonly RequestClass[]): number {
   let shares = 0;
   let work = 0;
-  for (const one of classes) {
-    shares += one.share;
-    work += one.share * typicalWork(one);
+  for (const requestClass of classes) {
+    shares += requestClass.share;
+    work += requestClass.share * typicalWork(requestClass);
   }
   return work / shares;
 }
 
 /**
- * Requests per millisecond of the mix that the fleet could finish at most: all
- * engines at full batches, every prefix cached. Load 1 is this rate.
+ * Returns the maximum number of requests of the mix that the fleet can finish
+ * per millisecond, with full batches at all engines and all prefixes cached.
+ * This rate is load 1.
  */
-export function capacity(
+export function maxRequestRate(
   deployment: Deployment,
   classes: readonly RequestClass[],
 ): number {
-  const speed = deployment.engines.reduce((sum, one) => sum + one.speed, 0);
+  const speed = deployment.engines.reduce(
+    (sum, engine) => sum + engine.speed,
+    0,
+  );
   return speed / meanWork(classes);
 }
 
-/** The mix in which the long class makes `share` of the work. */
-export function withLongWork(
+/** Returns the mix in which the long class causes `share` of the work. */
+export function withLongWorkShare(
   deployment: Deployment,
   share: number,
 ): RequestClass[] {
   const { longClass } = deployment;
-  const short = deployment.classes.filter((one) => one !== longClass);
+  const short = deployment.classes.filter((requestClass) =>
+    requestClass !== longClass
+  );
   const shortWork = short.reduce(
-    (sum, one) => sum + one.share * typicalWork(one),
+    (sum, requestClass) => sum + requestClass.share * typicalWork(requestClass),
     0,
   );
   const longShare = shortWork * share / (1 - share) / typicalWork(longClass);
   return [...short, { ...longClass, share: longShare }];
 }
 
-/** The deployment as it would be if all engines had their mean speed. */
+/** Returns the deployment with all engines at their mean speed. */
 export function withEqualSpeeds(deployment: Deployment): Deployment {
   const { engines } = deployment;
-  const total = engines.reduce((sum, one) => sum + one.speed, 0);
+  const total = engines.reduce((sum, engine) => sum + engine.speed, 0);
   const speed = total / engines.length;
-  return { ...deployment, engines: engines.map((one) => ({ ...one, speed })) };
+  return {
+    ...deployment,
+    engines: engines.map((engine) => ({ ...engine, speed })),
+  };
 }
 
-/** Engines of the given speeds, spread over the data centres in turn. */
-export function engines(
+/** Creates engines of the given speeds, assigned to the data centres in turn. */
+export function createEngineSettings(
   options: { prefix: string; speeds: number[]; dataCentres: number },
 ): EngineSettings[] {
   return options.speeds.map((speed, index) => ({
--- a/benchmarks/src/workload/pattern.ts
+++ b/benchmarks/src/workload/pattern.ts
@@ -1,28 +1,34 @@
-/** A load pattern: how the arrivals and the fleet depart from the usual. @module */
+/** Load patterns: how the arrivals and the fleet deviate from the usual. @module */
 
-/** A change of an engine; `engine` counts from the fastest. Times are shares of the horizon. */
+/**
+ * A change of an engine. `engine` is its index, the fastest first. Times are
+ * fractions of the horizon; `factor` is the factor by which steps get longer.
+ */
 export type EngineEvent =
   | { kind: "slow"; engine: number; from: number; to: number; factor: number }
   | { kind: "lost"; engine: number; at: number };
 
-/** Shares are of the horizon or of the arrivals; load 1 is the capacity. */
+/**
+ * One load pattern. Times are fractions of the horizon, and shares are fractions
+ * of the arrivals unless stated otherwise. Load 1 is the fleet's capacity.
+ */
 export type Pattern = {
   name: string;
   load: number;
-  /** More of some tiers for a while. */
+  /** A period in which some tiers have `factor` times as many arrivals. */
   burst?: { ranks: number[]; from: number; to: number; factor: number };
-  /** One organisation's share of all arrivals; the others split the rest evenly. */
-  hotOrganisation?: number;
-  /** Share of each class's requests that begin with its one hot prefix. */
-  hotPrefix?: number;
-  /** The long class's share of the work. */
-  longWork?: number;
+  /** Share of the first organisation; the others share the rest evenly. */
+  hotOrganisationShare?: number;
+  /** Share of each class's requests that begin with one hot prefix of the class. */
+  hotPrefixShare?: number;
+  /** Share of the work that the long class causes. */
+  longWorkShare?: number;
   engineEvents?: EngineEvent[];
-  /** One request that crashes its engine, sent again at each error. */
-  crashingRequest?: { at: number; resends: number };
+  /** A request that crashes its engine, retried after each error. */
+  crashingRequest?: { at: number; retries: number };
 };
 
-/** Every pattern of the bench, by name. */
+/** All load patterns of the benchmark. */
 export const patterns: readonly Pattern[] = [
   { name: "usual", load: 0.7 },
   {
@@ -30,8 +36,8 @@
     load: 0.6,
     burst: { ranks: [0, 1], from: 0.4, to: 0.6, factor: 4 },
   },
-  { name: "hot-organisation", load: 1.5, hotOrganisation: 0.6 },
-  { name: "hot-prefix", load: 0.7, hotPrefix: 0.5 },
+  { name: "hot-organisation", load: 1.5, hotOrganisationShare: 0.6 },
+  { name: "hot-prefix", load: 0.7, hotPrefixShare: 0.5 },
   {
     name: "slow-engine",
     load: 0.6,
@@ -42,7 +48,7 @@
   {
     name: "long-among-short",
     load: 0.8,
-    longWork: 0.5,
+    longWorkShare: 0.5,
   },
   { name: "overload-1.2", load: 1.2 },
   { name: "overload-2", load: 2 },
@@ -55,6 +61,6 @@
   {
     name: "crashing-request",
     load: 0.6,
-    crashingRequest: { at: 0.4, resends: 6 },
+    crashingRequest: { at: 0.4, retries: 6 },
   },
 ];
--- a/benchmarks/src/workload/zlati.ts
+++ b/benchmarks/src/workload/zlati.ts
@@ -1,6 +1,6 @@
-/** Zlati Mehurček's delivery assistant: 13 engines in three data centres. @module */
+/** Deployment of a delivery assistant: 13 engines in three data centres. @module */
 import type { RequestClass } from "../model/request.ts";
-import { type Deployment, engines } from "./deployment.ts";
+import { createEngineSettings, type Deployment } from "./deployment.ts";
 
 const SECOND = 1000;
 
@@ -74,7 +74,7 @@
   deadline: 20 * SECOND,
 };
 
-/** A café's year of tickets on one page: the long work among the short. */
+/** Summary of a café's tickets of one year: long work among short requests. */
 const caseSummary: RequestClass = {
   name: "case summary",
   tier: "support",
@@ -89,10 +89,10 @@
   deadline: 120 * SECOND,
 };
 
-/** See the module. */
+/** The deployment that the command line names `zlati`. */
 export const zlati: Deployment = {
   name: "zlati",
-  engines: engines({
+  engines: createEngineSettings({
     prefix: "assistant",
     speeds: [0.4, 0.5, 0.6, 0.7, 0.8, 1, 1, 1.2, 1.4, 1.6, 1.8, 2.2, 2.5],
     dataCentres: 3,
@@ -107,9 +107,9 @@
     { name: "kranj-shop", share: 0.06 },
   ],
   entries: 3,
-  topRanks: [0, 1],
+  topTierRanks: [0, 1],
   horizon: 90 * SECOND,
   warmUp: 15 * SECOND,
-  shortestDelay: 0.5,
-  longestDelay: 1,
+  minDelay: 0.5,
+  maxDelay: 1,
 };
--- a/benchmarks/test/bench_test.ts
+++ b/benchmarks/test/bench_test.ts
@@ -1,6 +1,6 @@
 import t from "tap";
 import { baselines } from "../src/policies/baselines.ts";
-import { decisions } from "../src/policies/variants.ts";
+import { allDecisionsPolicy } from "../src/policies/variants.ts";
 import { compare } from "../src/report/compare.ts";
 import { patternReport } from "../src/report/pattern_report.ts";
 import { boundByTier } from "../src/report/upper_bound.ts";
@@ -10,17 +10,17 @@
 import { type Pattern, patterns } from "../src/workload/pattern.ts";
 import { zlati } from "../src/workload/zlati.ts";
 
-const policies = [...baselines, decisions];
+const policies = [...baselines, allDecisionsPolicy];
 
 function short(deployment: Deployment): Deployment {
   return { ...deployment, horizon: 5000, warmUp: 1000 };
 }
 
 function pattern(name: string): Pattern {
-  return patterns.find((one) => one.name === name)!;
+  return patterns.find((pattern) => pattern.name === name)!;
 }
 
-t.test("the same seed gives the same digits", (t) => {
+t.test("runs with the same seed give the same report", (t) => {
   for (const name of ["overload-2", "crashing-request"]) {
     const options = {
       deployment: short(zlati),
@@ -31,31 +31,33 @@
     const first = compare(options);
     const second = compare(options);
     t.equal(
-      patternReport(first.lines, first.bounds),
-      patternReport(second.lines, second.bounds),
+      patternReport(first.results, first.bounds),
+      patternReport(second.results, second.bounds),
     );
   }
   t.end();
 });
 
-t.test("no policy passes the bound", (t) => {
+t.test("no policy exceeds the upper bound on goodput", (t) => {
   for (const deployment of [short(zlati), short(collective)]) {
     for (const name of ["overload-2", "engine-lost"]) {
-      const { lines, bounds } = compare({
+      const { results, bounds } = compare({
         deployment,
         pattern: pattern(name),
         policies,
         seed: 3,
       });
-      for (const { measures } of lines) t.ok(measures.good <= bounds.free);
+      for (const { measures } of results) {
+        t.ok(measures.good <= bounds.untiered);
+      }
     }
   }
   t.end();
 });
 
-t.test("the bound fills the machine and no more", (t) => {
-  // One engine of speed 1, requests of 100 ms that all arrive at 0 with 1 s to
-  // go: ten fit, the higher tier's first.
+t.test("the upper bound uses the engine's full capacity and no more", (t) => {
+  // Requests of 100 ms of work arrive at 0 with a deadline of 1 s at one engine
+  // of speed 1: ten fit, those of the higher tier first.
   const requests = Array.from(
     { length: 16 },
     (_, id) => request(id, id % 2 === 0 ? 0 : 1),
@@ -86,14 +88,14 @@
     },
     organisation: "any",
     entry: 0,
-    // 100 ms of prefill at 0.06 ms a token.
+    // 100 ms of prefill at 0.06 ms per token.
     promptTokens: 5000 / 3,
     prefixKey: "none",
     prefixTokens: 0,
     outputTokens: 0,
     fingerprint: "",
-    crashes: false,
+    crashesEngine: false,
     attempt: 0,
-    judged: true,
+    counted: true,
   };
 }
