--- a/packages/protocol/src/frame_codec.ts
+++ b/packages/protocol/src/frame_codec.ts
@@ -60,10 +60,9 @@
   }
 
   /**
-   * Returns the messages that `bytes` completes.
-   * Throws {@link LinkError} on a frame that is too large or malformed; the
-   * rest of the stream can't be decoded after that, and the link must be
-   * closed.
+   * Returns the messages that `bytes` completes. Throws {@link LinkError} on a
+   * frame that is too large or malformed; the rest of the stream can't be
+   * decoded after that, and the link must be closed.
    */
   push(bytes: Uint8Array): Validated[] {
     this.#chunks.push(bytes);
@@ -93,7 +92,7 @@
     if (this.#bufferedBytes < FRAME_HEADER_BYTES) return undefined;
     const header = this.#consume(FRAME_HEADER_BYTES);
     const length = Buffer.from(header).readUInt32BE(0);
-    // Without this limit, four bytes from a peer could allocate 4 GiB of memory.
+    // Without this limit, four bytes from a peer could allocate 4 GiB.
     if (length > this.#maximumFrameBytes) {
       throw this.#createError("frame_too_large", `${length} bytes announced`);
     }
--- a/packages/protocol/src/handshake.ts
+++ b/packages/protocol/src/handshake.ts
@@ -62,7 +62,7 @@
   const { socket, hello, timeout } = options;
   const link = new Link({ socket });
   link.send(hello);
-  // Without a timeout, a peer that sends nothing would keep the connection open.
+  // Without a timeout, a peer that sends nothing would keep the link open.
   const helloTimer = setTimeout(() => link.close(), timeout);
   const messages = link.receive();
   try {
--- a/packages/protocol/src/messages.ts
+++ b/packages/protocol/src/messages.ts
@@ -17,7 +17,7 @@
 const reservationNumber = count;
 const grantNumber = count;
 
-/** HTTP headers by lower-case name; some, as `set-cookie`, are repeatable. */
+/** HTTP headers by lower-case name; some, like `set-cookie`, may repeat. */
 export const httpHeadersSchema = v.record(
   v.string(),
   v.union([v.string(), v.array(v.string())]),
@@ -30,7 +30,7 @@
 /** Whether a request has run; see {@link executionStatusSchema}. */
 export type ExecutionStatus = v.InferOutput<typeof executionStatusSchema>;
 
-/** Expected work of a request: tokens for an engine, otherwise calls. */
+/** Expected work of a request; a plain service's call counts as one token. */
 export const costSchema = v.object({
   promptTokens: count,
   outputTokens: count,
