--- a/packages/store/src/call_budget.ts
+++ b/packages/store/src/call_budget.ts
@@ -9,7 +9,7 @@
  * @module
  */
 
-/** Reads per second that the service can serve, with half kept in reserve. */
+/** Calls per second of the fleet: half of the reads the service can serve. */
 const SERVICE_CALLS_PER_SECOND = 1000;
 /** Rate that a process needs even in the largest fleet. */
 const MIN_CALLS_PER_SECOND = 1;
--- a/packages/store/src/claims/claim_identity.ts
+++ b/packages/store/src/claims/claim_identity.ts
@@ -6,9 +6,10 @@
 import { createHash } from "node:crypto";
 
 /**
- * Number of shards, each one key of the key-value service, that the claims of a
- * service are divided among. Fixed for a fleet: with another number, a key
- * would be looked up in another shard and could be claimed again.
+ * Number of shards that the claims of a service are divided among; each is one
+ * key of the key-value service. Fixed for a fleet: with another number, an
+ * idempotency key would be looked up in another shard and could be claimed
+ * again.
  */
 export const SHARD_COUNT = 4;
 
--- a/packages/store/src/claims/claim_ledger.ts
+++ b/packages/store/src/claims/claim_ledger.ts
@@ -147,7 +147,7 @@
     await Promise.all(shards.map((shard) => shard.waitForDrain()));
   }
 
-  /** Shards are per service, so that a flood of one leaves others alone. */
+  /** Shards are per service: a flood of claims for one delays no other. */
   #shard(service: string, identity: string): ClaimShard {
     const shards = this.#shardsByService.get(service) ??
       createShards(this.#options, service);
--- a/packages/store/src/claims/commit_batch.ts
+++ b/packages/store/src/claims/commit_batch.ts
@@ -16,9 +16,9 @@
 const MAX_AMBIGUOUS_WRITES = 4;
 /** Conflicts with writes of other processes after which a batch fails. */
 const MAX_CONFLICTS = 8;
-/** Milliseconds of the pause after the first write with unknown effect. */
+/** Milliseconds that each write with unknown effect adds to the pause. */
 const AMBIGUOUS_WRITE_PAUSE = 100;
-/** Maximum milliseconds of the pause after the second conflict. */
+/** Maximum milliseconds that each further conflict adds to the pause. */
 const CONFLICT_PAUSE = 5;
 
 /** A shard's head with its revision in the key-value service. */
--- a/packages/store/src/http_client.ts
+++ b/packages/store/src/http_client.ts
@@ -43,7 +43,7 @@
 /** A complete response. */
 export type HttpResponse = { status: number; etag: string; text: string };
 
-/** What matters of an error that undici or Node.js throws. */
+/** The fields that are read of an error that undici or Node.js throws. */
 type TransportFailure = {
   code?: string;
   name?: string;
--- a/packages/store/src/key_value_store.ts
+++ b/packages/store/src/key_value_store.ts
@@ -52,9 +52,7 @@
     key: string,
   ): Promise<Result<KeyValueEntry | undefined, PlatformError>>;
 
-  /**
-   * Writes `value` only if the key's revision is still `expected` (0: absent).
-   */
+  /** Writes `value` if the key's revision is still `expected` (0: absent). */
   abstract compareAndSwap(
     options: SwapOptions,
   ): Promise<Result<SwapOutcome, PlatformError>>;
--- a/packages/store/src/memory_key_value_store.ts
+++ b/packages/store/src/memory_key_value_store.ts
@@ -160,7 +160,7 @@
     wakeups.forEach((wakeup) => wakeup());
   }
 
-  /** Resolves at a change, or after a poll interval, to notice expired leases. */
+  /** Resolves at a change, or after a poll interval to find expired leases. */
   #waitForChange(wait: number): Promise<void> {
     return new Promise((resolve) => {
       const delay = Math.min(wait, WATCH_POLL_INTERVAL);
--- a/packages/store/src/metadata_store.ts
+++ b/packages/store/src/metadata_store.ts
@@ -60,16 +60,14 @@
  * error has `applied: "unknown"`.
  */
 export abstract class MetadataStore {
-  /**
-   * Keys with `prefix` that follow `after`, in order; `signal` aborts the call.
-   */
+  /** Reads keys with `prefix` after `after`, in order; `signal` aborts it. */
   abstract readPage(
     prefix: string,
     after?: string,
     signal?: AbortSignal,
   ): Promise<Result<ItemPage, PlatformError>>;
 
-  /** Resolves with the changes after a revision, or with none after `wait` ms. */
+  /** Resolves to the changes after a revision; to none after `wait` ms. */
   abstract watchPrefix(
     options: WatchPrefixOptions,
   ): Promise<Result<ChangeBatch, PlatformError>>;
--- a/packages/store/src/platform_error.ts
+++ b/packages/store/src/platform_error.ts
@@ -1,7 +1,8 @@
 /** A failed call to a service of the platform. @module */
 
 /**
- * Why it failed; `budget` and `too_large` are detected before anything is sent.
+ * Why it failed. `budget`: a limit of this process on calls, conflicts or
+ * pending operations was reached; `too_large`: the value was not sent.
  */
 export type PlatformErrorReason =
   | "unreachable"
--- a/packages/store/test/claims/claim_ledger_test.ts
+++ b/packages/store/test/claims/claim_ledger_test.ts
@@ -163,7 +163,7 @@
   t.ok(store.writesReceived <= 2 * 4);
 });
 
-t.test("a flood of claims for one service leaves those of others alone", async (t) => {
+t.test("a flood of claims for one service does not block other services", async (t) => {
   const { store } = createStores();
   const ledger = createLedger(store, "entry-1");
   const flood = Array.from(
--- a/packages/store/test/claims/claim_races_test.ts
+++ b/packages/store/test/claims/claim_races_test.ts
@@ -1,6 +1,6 @@
 // Three entries claim two keys in a service that drops and delays writes and
 // loses responses. In every order of events: no request runs twice, a released
-// one did not run, and a retry that gets "done" gets the outcome of the one run.
+// one did not run, and a retry that gets "done" gets the one run's outcome.
 // CLAIM_RACES_RUNS and CLAIM_RACES_SEED set the number of runs and the seed.
 import fc from "fast-check";
 import process from "node:process";
