--- a/packages/daemon/src/common/clock.ts
+++ b/packages/daemon/src/common/clock.ts
@@ -1,6 +1,6 @@
 /**
- * The process's monotonic and wall clocks. The decisions package reads no clock;
- * it gets these times as arguments.
+ * The process's monotonic and wall clocks. The decisions package reads no
+ * clock; it gets these times as arguments.
  * @module
  */
 import { performance } from "node:perf_hooks";
--- a/packages/daemon/src/common/listen.ts
+++ b/packages/daemon/src/common/listen.ts
@@ -4,8 +4,8 @@
 import type { Address } from "./settings.ts";
 
 /**
- * Starts to listen at `address` and resolves to the port in use. With port 0 the
- * operating system chooses a free one.
+ * Starts to listen at `address` and resolves to the port in use. With port 0
+ * the operating system chooses a free one.
  */
 export async function listen(
   server: Server,
--- a/packages/daemon/src/common/membership.ts
+++ b/packages/daemon/src/common/membership.ts
@@ -45,9 +45,7 @@
     this.#self = options.self;
   }
 
-  /**
-   * Repeats the registration and the read until {@link deregister} is called.
-   */
+  /** Registers and reads the list at intervals until {@link deregister}. */
   async run(): Promise<void> {
     const { signal } = this.#stop;
     while (!signal.aborted) {
--- a/packages/daemon/src/common/settings.ts
+++ b/packages/daemon/src/common/settings.ts
@@ -89,7 +89,7 @@
     kind: v.picklist(["model", "plain"]),
     healthPath: v.optional(v.pipe(v.string(), v.startsWith("/")), "/health"),
     healthInterval: v.optional(positiveInteger, 1000),
-    /** Header in which the server states how many requests per second it accepts. */
+    /** Header in which the server states its limit of requests per second. */
     limitHeader: v.optional(
       v.pipe(
         v.string(),
--- a/packages/daemon/src/common/status_server.ts
+++ b/packages/daemon/src/common/status_server.ts
@@ -43,8 +43,8 @@
       response.setHeader("content-type", "application/json");
       response.end(`${JSON.stringify(await getStatus(), undefined, 2)}\n`);
     });
-  // polka handles requests only of servers that it starts itself, so they are
-  // passed to its handler here.
+  // polka only handles requests of servers that it starts itself, so its
+  // handler is called directly.
   const server: Server = createServer((request, response) =>
     application.handler(request as Request, response)
   );
--- a/packages/daemon/src/entry/chat_completion.ts
+++ b/packages/daemon/src/entry/chat_completion.ts
@@ -16,7 +16,10 @@
   max_completion_tokens: v.optional(v.nullable(v.number())),
 });
 
-/** UTF-16 code units of the serialised first messages in the prefix key. */
+/**
+ * Length of the prompt's beginning that the prefix key covers, in UTF-16 code
+ * units of its first two messages as JSON.
+ */
 const PREFIX_LENGTH = 1024;
 
 /** Fields that determine a completion's backend server and estimated cost. */
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -50,7 +50,7 @@
   readonly #claimLedger: ClaimLedger;
   readonly #context: RequestContext;
   #instancesListed = false;
-  #nextNumber = 1;
+  #nextRequestNumber = 1;
   #runningRequests = 0;
   #entryCount = 1;
   #protocolPort = 0;
@@ -244,10 +244,10 @@
   }
 
   #createTask(request: ResolvedRequest): RequestTask {
-    const number = this.#nextNumber;
-    this.#nextNumber += 1;
+    const requestNumber = this.#nextRequestNumber;
+    this.#nextRequestNumber += 1;
     const context = this.#context;
-    return new RequestTask({ number, request, context });
+    return new RequestTask({ requestNumber, request, context });
   }
 
   #runTask(
--- a/packages/daemon/src/entry/http_frontend.ts
+++ b/packages/daemon/src/entry/http_frontend.ts
@@ -56,7 +56,7 @@
   };
   const application = polka({
     onNoMatch: serve,
-    onError: (_error, _q, r) => r.end(),
+    onError: (_error, _request, response) => response.end(),
   })
     .post(CHAT_COMPLETIONS_PATH, serve)
     .all(`${SERVICE_PATH_PREFIX}*`, serve);
--- a/packages/daemon/src/entry/placement_task.ts
+++ b/packages/daemon/src/entry/placement_task.ts
@@ -26,7 +26,8 @@
 
 /** Options of {@link PlacementTask}. */
 export type PlacementTaskOptions = {
-  number: number;
+  /** Unique among this process's requests; its reservations carry it. */
+  requestNumber: number;
   request: ResolvedRequest;
   /** Version of the backend servers to choose from; any if absent. */
   version?: string | undefined;
@@ -43,7 +44,7 @@
   readonly #plan: ReservationPlan;
   readonly #reservations = new Map<string, SidecarSession>();
   readonly #excluded = new Set<string>();
-  /** Reservations that were refused or cut off and are not replaced yet. */
+  /** Refused reservations and those of lost links, not replaced yet. */
   #lostReservations = 0;
   #refusal: Refusal | undefined;
   readonly #suspect: boolean;
@@ -120,14 +121,14 @@
    * down one server only and identifies the request that caused it.
    */
   #tryStartSuspectRun(sidecar: string): boolean {
-    const { serviceState, request, number } = this.#options;
+    const { serviceState, request, requestNumber } = this.#options;
     const { fingerprint } = request;
     if (
       serviceState.suspects.tryStartRun(fingerprint, sidecar, monotonicNow())
     ) {
       return true;
     }
-    this.#reservations.get(sidecar)?.withdraw(number);
+    this.#reservations.get(sidecar)?.withdraw(requestNumber);
     this.#reservations.delete(sidecar);
     this.#plan.markLost();
     return false;
@@ -186,7 +187,8 @@
       this.#lostReservations -= 1;
       this.#plan.markLost();
     }
-    // Other servers still hold reservations, so none has to be replaced now.
+    // The lost ones are given up only if no other reservation is left and no
+    // server can be chosen in their place.
     if (this.#reservations.size > 0) return;
     if (this.#hasNoCandidates(now)) this.#lostReservations = 0;
   }
@@ -227,10 +229,10 @@
   }
 
   #reserveMessage(now: number): ReserveMessage {
-    const { number, request } = this.#options;
+    const { requestNumber, request } = this.#options;
     return {
       type: "reserve",
-      reservation: number,
+      reservation: requestNumber,
       service: request.service.name,
       tierRank: request.tier.rank,
       organisation: request.organisation,
@@ -247,10 +249,10 @@
   }
 
   #handOverMessage(grant: number): HandOverMessage {
-    const { number, request } = this.#options;
+    const { requestNumber, request } = this.#options;
     return {
       type: "handOver",
-      reservation: number,
+      reservation: requestNumber,
       grant,
       method: request.method,
       path: request.path,
@@ -289,7 +291,7 @@
 
   #withdrawAll(): void {
     for (const session of this.#reservations.values()) {
-      session.withdraw(this.#options.number);
+      session.withdraw(this.#options.requestNumber);
     }
     this.#reservations.clear();
   }
--- a/packages/daemon/src/entry/request_task.ts
+++ b/packages/daemon/src/entry/request_task.ts
@@ -20,7 +20,8 @@
 
 /**
  * Maximum time, in milliseconds, that a non-idempotent call is followed after
- * its caller's response was given up. Its sidecar ends it at the same age.
+ * its caller's response was given up. Its sidecar limits its run to the same
+ * time.
  */
 export const MAX_RUN_DURATION = 15 * 60 * 1000;
 
@@ -34,7 +35,7 @@
 
 /** Runs one request; its events arrive in a mailbox. */
 export class RequestTask {
-  readonly #number: number;
+  readonly #requestNumber: number;
   readonly #request: ResolvedRequest;
   #sink!: ResponseSink;
   readonly #context: RequestContext;
@@ -48,12 +49,12 @@
 
   constructor(
     options: {
-      number: number;
+      requestNumber: number;
       request: ResolvedRequest;
       context: RequestContext;
     },
   ) {
-    this.#number = options.number;
+    this.#requestNumber = options.requestNumber;
     this.#request = options.request;
     this.#context = options.context;
   }
@@ -123,6 +124,7 @@
     );
   }
 
+  /** Counts the request as waiting until the returned function is called. */
   #admit() {
     const { service, tier, body } = this.#request;
     const { waitingLimiter } = this.#context;
@@ -157,7 +159,7 @@
   #placeOnVersion(version: string | undefined): Promise<PlacementOutcome> {
     const { serviceState, sessionPool, metrics, random } = this.#context;
     return new PlacementTask({
-      number: this.#number,
+      requestNumber: this.#requestNumber,
       request: this.#request,
       version,
       serviceState: serviceState(this.#request.service.name),
@@ -179,7 +181,7 @@
     if (this.#continuesWithoutCaller(outcome)) {
       return await this.#awaitCompletion(session, relay, outcome);
     }
-    if (outcome.kind === "complete") session.forget(this.#number);
+    if (outcome.kind === "complete") session.forget(this.#requestNumber);
     else this.#cancelOrForget(session, outcome);
     return this.#finish(session, outcome);
   }
@@ -206,7 +208,7 @@
       latest = await relay.run(until);
       if (latest.kind === "failed") break;
     }
-    session.forget(this.#number);
+    session.forget(this.#requestNumber);
     return this.#finish(session, latest);
   }
 
@@ -226,8 +228,8 @@
    */
   #cancelOrForget(session: SidecarSession, outcome: ResponseOutcome): void {
     const ended = outcome.kind === "failed" && !stillRunsAtServer(outcome);
-    if (ended) session.forget(this.#number);
-    else session.cancel(this.#number);
+    if (ended) session.forget(this.#requestNumber);
+    else session.cancel(this.#requestNumber);
   }
 
   #finish(session: SidecarSession, outcome: ResponseOutcome): RequestOutcome {
@@ -304,7 +306,7 @@
   }
 }
 
-/** True if the entry gave up while the backend server still runs it. */
+/** Whether the entry gave up on a request that the server still runs. */
 function stillRunsAtServer(outcome: ResponseOutcome): boolean {
   return outcome.kind === "failed" &&
     ["deadline", "caller_too_slow"].includes(outcome.refusal.reason);
--- a/packages/daemon/src/entry/sidecar_directory.ts
+++ b/packages/daemon/src/entry/sidecar_directory.ts
@@ -37,7 +37,7 @@
   instance: Instance;
   session: SidecarSession | undefined;
   listed: boolean;
-  /** `host:port`; another one after a restart under the same name. */
+  /** `host:port`; differs after a restart under the same name. */
   address: string;
 };
 
--- a/packages/daemon/src/entry/start_entry.ts
+++ b/packages/daemon/src/entry/start_entry.ts
@@ -11,7 +11,10 @@
 import { startHttpFrontend } from "./http_frontend.ts";
 import { PeerConnection } from "./peer_connection.ts";
 
-/** Starts an entry. It is ready once it has a configuration and instances. */
+/**
+ * Starts an entry. It is ready once it has a configuration and has read the
+ * instance list.
+ */
 export async function startEntry(
   settings: EntrySettings,
 ): Promise<RunningDaemon> {
--- a/packages/daemon/src/mod.ts
+++ b/packages/daemon/src/mod.ts
@@ -1,1 +1,2 @@
+/** Exports nothing: the package is used through its binary. @module */
 export {};
--- a/packages/daemon/src/moves/evidence_link.ts
+++ b/packages/daemon/src/moves/evidence_link.ts
@@ -25,7 +25,7 @@
     this.#createHello = createHello;
   }
 
-  /** Sends a message to the driver at `address`, the value of its lease key. */
+  /** Sends a message to the driver; `address` is the value of its key. */
   async send(address: string, message: Message): Promise<void> {
     if (address !== this.#address || this.#link?.closed !== false) {
       await this.#open(address);
--- a/packages/daemon/src/moves/move_controller.ts
+++ b/packages/daemon/src/moves/move_controller.ts
@@ -1,6 +1,6 @@
 /**
- * All moves that an entry knows, and the task that keeps them up to date. A move
- * shifts a service's requests step by step from one version of its backend
+ * All moves that an entry knows, and the task that keeps them up to date. A
+ * move shifts a service's requests step by step from one version of its backend
  * servers to the next.
  * @module
  */
@@ -26,7 +26,7 @@
 
 /** Minimum milliseconds between two rounds. */
 const MIN_ROUND_INTERVAL = 1000;
-/** Milliseconds that each entry of the fleet adds to the time between rounds. */
+/** Milliseconds that each entry of the fleet adds to the round interval. */
 const ROUND_INTERVAL_PER_ENTRY = 10;
 
 /** Options of {@link MoveController}. */
@@ -106,7 +106,7 @@
     if (stored) this.#adoptRecord(stored);
   }
 
-  /** Adds the evidence that another entry sent to this one as the move's driver. */
+  /** Adds evidence that another entry sent because this one is the driver. */
   receiveEvidence(move: string, evidence: RouteEvidence[]): void {
     this.#moves.get(move)?.driver.addEvidence(evidence);
   }
@@ -178,8 +178,8 @@
     const evidence = serviceMove.flushEvidence(now);
     const { phase } = serviceMove.stored.record;
     if (phase === "complete" || phase === "takenBack") {
-      // Calls that end after the move, such as the last ones of the old version,
-      // are still collected but decide nothing.
+      // Calls that end after the move, such as the last ones of the old
+      // version, are still collected but decide nothing.
       await driver.stop();
       return;
     }
--- a/packages/daemon/src/moves/move_driver.ts
+++ b/packages/daemon/src/moves/move_driver.ts
@@ -29,7 +29,7 @@
 /** Milliseconds after which a driver's lease expires unless it is renewed. */
 const LEASE_TTL = 8000;
 
-/** The instance that drives a move and the address at which it receives evidence. */
+/** Instance that drives a move, and the address where it gets evidence. */
 export type DriverAddress = { instance: string; host: string; port: number };
 
 /** Options of {@link MoveDriver}. */
@@ -174,8 +174,8 @@
         ...this.#fencingFields(current),
       });
     }
-    // A new driver raises the fencing number at once, even if no step is due, so
-    // that its predecessor can no longer write.
+    // A new driver raises the fencing number at once, even if no step is due,
+    // so that its predecessor can no longer write.
     if (!this.#hasRaisedFencing) {
       await this.#writeRecord({ ...current, ...this.#fencingFields(current) });
     }
--- a/packages/daemon/src/moves/service_move.ts
+++ b/packages/daemon/src/moves/service_move.ts
@@ -21,7 +21,7 @@
 import { initialRecord } from "./stored_move.ts";
 import type { StoredMove } from "./stored_move.ts";
 
-/** The version chosen for a request, and the move to which its result counts. */
+/** Version chosen for a request, and the move to which its result counts. */
 export type VersionChoice = {
   move: string;
   side: VersionSide;
@@ -41,6 +41,7 @@
   readonly #split: VersionSplit;
   #stored: StoredMove;
 
+  /** `firstRemainder` is random in [0, 1); see {@link VersionSplit}. */
   constructor(options: { move: Move; now: number; firstRemainder: number }) {
     const { move, now, firstRemainder } = options;
     this.move = move;
--- a/packages/daemon/src/moves/version_capacity.ts
+++ b/packages/daemon/src/moves/version_capacity.ts
@@ -16,8 +16,8 @@
   }
 
   /**
-   * Returns the share of the service's current requests that the healthy servers
-   * of a version can carry: 0 without any such server, at most 1.
+   * Returns the share of the service's current requests that the healthy
+   * servers of a version can carry: 0 without any such server, at most 1.
    */
   capacityShare(version: string): number {
     let limit = 0;
--- a/packages/daemon/src/sidecar/backend_client.ts
+++ b/packages/daemon/src/sidecar/backend_client.ts
@@ -16,11 +16,11 @@
 }
 
 /**
- * How a request ended. `connectionLost` is true if the connection broke while the
- * request was running.
+ * How a request ended. `connectionLost` is true if the connection broke while
+ * the request was running.
  */
 export type RunOutcome =
-  | { kind: "whole"; status: number }
+  | { kind: "complete"; status: number }
   | {
     kind: "failed";
     ran: FailedMessage["ran"];
@@ -47,6 +47,7 @@
     this.#maxResponseBytes = options.maxResponseBytes;
     this.#pool = new Pool(options.url, {
       pipelining: 1,
+      // Timeouts in milliseconds; 0: none, as the deadline ends a request.
       headersTimeout: 0,
       bodyTimeout: 0,
       connect: { timeout: 2000 },
@@ -118,7 +119,7 @@
     if (!meter.isComplete) {
       return { ...failedOutcome("yes", "answer_cut"), connectionLost: true };
     }
-    return { kind: "whole", status: response.statusCode };
+    return { kind: "complete", status: response.statusCode };
   }
 }
 
--- a/packages/daemon/src/sidecar/entry_connection.ts
+++ b/packages/daemon/src/sidecar/entry_connection.ts
@@ -27,8 +27,9 @@
   constructor(options: { established: EstablishedLink; sequence: number }) {
     this.#established = options.established;
     const { incarnation } = options.established.peerHello;
-    // The sequence number distinguishes two links of the same entry: reservations
-    // over a broken link must not be confused with those over the next one.
+    // The sequence number distinguishes two links of the same entry:
+    // reservations over a broken link must not be confused with those over the
+    // next one.
     this.#idPrefix = `${incarnation}/${options.sequence}`;
   }
 
@@ -49,7 +50,7 @@
     this.#established.link.send(message);
   }
 
-  /** Resolves once the link's send buffer has capacity again. */
+  /** Resolves once the peer has read enough for more bytes to be sent. */
   waitForDrain(): Promise<void> {
     return this.#established.link.waitForDrain();
   }
@@ -62,8 +63,8 @@
   }
 
   /**
-   * Passes every message to `handler` until the link ends; resolves to the error
-   * that ended it, if any.
+   * Passes every message to `handler` until the link ends; resolves to the
+   * error that ended it, if any.
    */
   async run(handler: EntryMessageHandler): Promise<LinkError | undefined> {
     try {
--- a/packages/daemon/src/sidecar/health_probe.ts
+++ b/packages/daemon/src/sidecar/health_probe.ts
@@ -19,7 +19,7 @@
 /** Milliseconds within which the server must respond to a probe. */
 const PROBE_TIMEOUT = 2000;
 
-/** Tracks the server's health; it counts as unhealthy until the first success. */
+/** Tracks the server's health; unhealthy until the first success. */
 export class HealthProbe {
   readonly #options: HealthProbeOptions;
   readonly #stop = new AbortController();
--- a/packages/daemon/src/sidecar/interrupted_requests.ts
+++ b/packages/daemon/src/sidecar/interrupted_requests.ts
@@ -14,7 +14,7 @@
 
 type Interruption = { fingerprint: string; at: number };
 
-/** Collects interrupted requests until a probe shows whether the server crashed. */
+/** Collects interrupted requests until it is known if the server crashed. */
 export class InterruptedRequests {
   #interruptions: Interruption[] = [];
 
--- a/packages/daemon/src/sidecar/response_meter.ts
+++ b/packages/daemon/src/sidecar/response_meter.ts
@@ -28,7 +28,7 @@
 const LAST_EVENT = "[DONE]";
 
 /**
- * Measures the server-sent events of a chat completion, each of about one token.
+ * Measures the server-sent events of a chat completion, about one token each.
  *
  * If the engine marks the end of a response by closing the connection, a crash
  * between two events looks like the end. Therefore a response is complete only
--- a/packages/daemon/src/sidecar/run_outcome.ts
+++ b/packages/daemon/src/sidecar/run_outcome.ts
@@ -1,4 +1,4 @@
-/** Interprets how a request ended for the backend server that ran it. @module */
+/** What a request's outcome says about its backend server. @module */
 import type { RunOutcome } from "./backend_client.ts";
 
 /**
@@ -6,7 +6,7 @@
  * a cancellation, or a response with a status of 500 or above.
  */
 export function isServerFailure(outcome: RunOutcome): boolean {
-  return outcome.kind === "whole"
+  return outcome.kind === "complete"
     ? outcome.status >= 500
     : outcome.reason !== "cancelled";
 }
@@ -16,5 +16,5 @@
   outcome: RunOutcome,
 ): "ok" | "failed" | "cancelled" {
   if (isServerFailure(outcome)) return "failed";
-  return outcome.kind === "whole" ? "ok" : "cancelled";
+  return outcome.kind === "complete" ? "ok" : "cancelled";
 }
--- a/packages/daemon/src/sidecar/running_request.ts
+++ b/packages/daemon/src/sidecar/running_request.ts
@@ -15,7 +15,7 @@
 
 /** Receives the progress of responses, for the server's limits. */
 export type ProgressListener = {
-  /** `startedAt` is the monotonic time, in ms, at which the request was sent. */
+  /** `startedAt`: when the request was sent, in monotonic milliseconds. */
   onHead(headers: HttpHeaders, startedAt: number): void;
   onFirstToken(id: string, now: number): void;
   onProgress(id: string, outputTokens: number): void;
@@ -57,8 +57,8 @@
 
   /**
    * Returns the cost of a complete response, and its times in milliseconds from
-   * the start. Output tokens are counted if the response was streamed; otherwise
-   * the reservation's estimate is used.
+   * the start. Output tokens are counted if the response was streamed;
+   * otherwise the reservation's estimate is used.
    */
   measure(now: number): { cost: Cost; firstToken: number; total: number } {
     const { promptTokens, outputTokens } = this.reserve.cost;
--- a/packages/daemon/src/sidecar/running_requests.ts
+++ b/packages/daemon/src/sidecar/running_requests.ts
@@ -7,9 +7,10 @@
 import type { ProgressListener } from "./running_request.ts";
 
 /**
- * Maximum milliseconds that a request marked `runToCompletion` may run. It can't
- * be retried, so it is not aborted at its caller's deadline: half a payment is
- * worse than a late one. The limit ends requests at a server that hangs.
+ * Maximum milliseconds that a request marked `runToCompletion` may run. It
+ * can't be retried, so it is not aborted at its caller's deadline: a payment
+ * that stops midway is worse than a late one. The limit ends requests at a
+ * server that hangs.
  */
 const MAX_RUN_DURATION = 15 * 60 * 1000;
 
@@ -19,8 +20,8 @@
   listener: ProgressListener;
   /**
    * Checks whether the server crashed after a connection broke. The entry is
-   * notified of the failure only afterwards: a retry that reached another server
-   * before the report of the crash could crash that one too.
+   * notified of the failure only afterwards: a retry that reached another
+   * server before the report of the crash could crash that one too.
    */
   diagnose: (request: RunningRequest) => Promise<void>;
   /** Called once for each request, after its last message has been sent. */
@@ -31,7 +32,7 @@
   ) => void;
 };
 
-/** A reservation whose grant was redeemed, with the request that redeemed it. */
+/** A reservation whose grant was redeemed, and the request handed over. */
 export type RedeemedRequest = {
   id: string;
   connection: EntryConnection;
@@ -97,7 +98,7 @@
       await diagnose(request);
     }
     this.#requests.delete(request.id);
-    if (outcome.kind === "whole") request.sendEnd();
+    if (outcome.kind === "complete") request.sendEnd();
     else request.sendFailed(outcome.ran, outcome.reason);
     onFinished(request, outcome, monotonicNow());
     if (this.#requests.size === 0) this.#onIdle?.();
--- a/packages/daemon/src/sidecar/sidecar.ts
+++ b/packages/daemon/src/sidecar/sidecar.ts
@@ -93,7 +93,7 @@
     return this.#draining;
   }
 
-  /** Adds an entry's connection and sends it the load and the moves' records. */
+  /** Adds an entry's connection; sends it the load and the moves' records. */
   addConnection(connection: EntryConnection): void {
     this.#connections.add(connection);
     connection.send(this.load);
@@ -232,7 +232,7 @@
   ): void {
     const { reserve } = request;
     const { suspects } = this.#options;
-    if (outcome.kind === "whole") {
+    if (outcome.kind === "complete") {
       this.#options.onResponseComplete(request.measure(now), now);
       if (reserve.fingerprint) {
         suspects.recordCleanRun(reserve.fingerprint, now);
@@ -307,8 +307,8 @@
   }
 
   /**
-   * Schedules the next tick. Ticks continue while reservations wait or grants are
-   * open; an idle sidecar needs no timer.
+   * Schedules the next tick. Ticks continue while reservations wait or grants
+   * are open; an idle sidecar needs no timer.
    */
   #scheduleTick(): void {
     if (this.#tickTimer || this.#draining) return;
--- a/packages/daemon/src/sidecar/sidecar_estimates.ts
+++ b/packages/daemon/src/sidecar/sidecar_estimates.ts
@@ -1,9 +1,9 @@
-/** Estimates of the backend server's speed, from completed responses. @module */
+/** Estimates of the backend server's speed from its responses. @module */
 import { DrainRate, ServiceTimeEstimator } from "@sycamorepulley/decisions";
 import type { Cost, WaitingQueue } from "@sycamorepulley/decisions";
 import type { ReserveMessage } from "@sycamorepulley/protocol";
 
-/** A tier rank below all tiers, so that estimates include everything that waits. */
+/** A rank below all tiers, so that estimates include all that waits. */
 const LOWEST_RANK = Number.MAX_SAFE_INTEGER;
 
 /** Estimates for one backend server; durations in milliseconds. */
@@ -17,7 +17,7 @@
     this.#kind = kind;
   }
 
-  /** Returns the time from a grant within which a response is likely complete. */
+  /** Returns the time after a grant by which the response likely ends. */
   expectedTime(cost: Cost): number {
     return this.#kind === "model"
       ? this.#serviceTime.conservativeTotal(cost)
--- a/packages/daemon/src/sidecar/sidecar_options.ts
+++ b/packages/daemon/src/sidecar/sidecar_options.ts
@@ -21,15 +21,15 @@
   suspects: CrashSuspects;
   client: BackendClient;
   probe: () => HealthProbe;
-  /** Returns an organisation's weight relative to others, from the configuration. */
+  /** Returns the weight that the configuration gives an organisation. */
   weightOf: (organisation: string) => number;
   /** Returns the milliseconds within which a response must be complete. */
   timeAllowed: (reserve: ReserveMessage) => number;
   /** Returns the milliseconds after which a refused request may be retried. */
   retryAfter: (now: number) => number;
-  /** Returns the milliseconds that a reservation of the lowest tier would wait. */
+  /** Returns the milliseconds that a request of the lowest tier would wait. */
   expectedWait: (now: number) => number;
-  /** Called after a complete response; times in milliseconds from the hand-over. */
+  /** Called after a complete response; times in ms from the hand-over. */
   onResponseComplete: (
     measurement: { cost: Cost; firstToken: number; total: number },
     now: number,
--- a/packages/daemon/src/sidecar/start_sidecar.ts
+++ b/packages/daemon/src/sidecar/start_sidecar.ts
@@ -199,10 +199,10 @@
 
 async function createStatus(
   settings: SidecarSettings,
-  parts: ProcessComponents,
+  components: ProcessComponents,
   sidecar: Sidecar,
 ): Promise<Status> {
-  const { metrics, lifecycle, configuration, startedAt } = parts;
+  const { metrics, lifecycle, configuration, startedAt } = components;
   const { load } = sidecar;
   const { service, version } = settings.backendServer;
   metrics.waiting.set({ service }, load.waiting);
--- a/packages/daemon/src/sidecar/stated_server_limit.ts
+++ b/packages/daemon/src/sidecar/stated_server_limit.ts
@@ -1,8 +1,8 @@
 /**
  * The rate limit that the sidecar's backend server states in its responses.
  *
- * All requests reach the server through its sidecar, so the sidecar enforces the
- * limit alone.
+ * All requests reach the server through its sidecar, so the sidecar enforces
+ * the limit alone.
  * @module
  */
 import { parseServerLimit, ServerLimits } from "@sycamorepulley/decisions";
@@ -44,6 +44,7 @@
       return false;
     }
     const perSecond = stated.value;
+    // A response without a limit may be older than one that stated a limit.
     const observedAt = perSecond === undefined ? sentAt : now;
     const observation = {
       perSecond,
--- a/packages/daemon/src/sidecar/version_guard.ts
+++ b/packages/daemon/src/sidecar/version_guard.ts
@@ -18,7 +18,7 @@
  */
 const STOP_DURATION = 10_000;
 
-/** Keeps the record of each move, and whether this sidecar's version is stopped. */
+/** Keeps the moves' records, and whether this sidecar's version is stopped. */
 export class VersionGuard {
   readonly #version: string | undefined;
   readonly #records = new Map<string, StoredMove>();
@@ -45,8 +45,8 @@
   }
 
   /**
-   * Records a call that ended at the server; `now` is monotonic time, `wallTime`
-   * wall-clock time, both in milliseconds.
+   * Records a call that ended at the server; `now` is monotonic time,
+   * `wallTime` wall-clock time, both in milliseconds.
    */
   recordCall(
     call: { route: string; failed: boolean },
--- a/packages/daemon/test/configuration_sync_test.ts
+++ b/packages/daemon/test/configuration_sync_test.ts
@@ -4,7 +4,7 @@
 import { Metrics } from "../src/common/metrics.ts";
 
 t.test("a newer configuration is requested from one peer at a time", (t) => {
-  // Otherwise each message of each peer requests all of it and fills the links.
+  // Otherwise each peer's messages request it all, which overloads the links.
   const sync = new ConfigurationSync({
     store: new MemoryKeyValueStore(),
     fleetSize: 10,
--- a/packages/daemon/test/move_driver_test.ts
+++ b/packages/daemon/test/move_driver_test.ts
@@ -28,7 +28,7 @@
     new MemoryKeyValueStore({ clock: () => this.now }),
   );
   readonly entries = ["entry-1", "entry-2"].map((instance) =>
-    this.#entry(instance)
+    this.#createEntry(instance)
   );
   readonly stopped = new Set<number>();
 
@@ -73,7 +73,7 @@
     serviceMove.recordCall(side, { route: "/bookings", failed, slowness: 1 });
   }
 
-  #entry(instance: string) {
+  #createEntry(instance: string) {
     const serviceMove = new ServiceMove({
       move: MOVE,
       now: 0,
@@ -124,7 +124,7 @@
 });
 
 t.test("a driver that resumes after its lease expired changes nothing", async (t) => {
-  // Otherwise a driver paused beyond its lease overwrites its successor's steps.
+  // Otherwise a driver paused beyond its lease overwrites its successor's step.
   const moving = new MovingEntries();
   await moving.runRoundsUntil(() => moving.driverIndex() >= 0);
   const paused = moving.driverIndex();
