--- a/packages/decisions/src/dispatch/grant_request.ts
+++ b/packages/decisions/src/dispatch/grant_request.ts
@@ -47,8 +47,9 @@
 export type GrantRefusalReason = "quota" | "overload" | "no_server" | "expired";
 
 /**
- * Standing of a waiting request: `timely` if it can still meet its latency goal,
- * `returned` if it is the retry of a caller that was refused, otherwise `late`.
+ * Standing of a waiting request: `returned` if it is the retry of a caller that
+ * was refused, otherwise `timely` if it can still meet its latency goal, or
+ * `late`.
  */
 export type RequestStanding = "timely" | "returned" | "late";
 
@@ -59,7 +60,7 @@
   waiting: number;
   /** Milliseconds until the organisation's quota allows the request. */
   quotaWait: number;
-  /** Standing in the queue; absent if the request was never queued. */
+  /** Standing of the request; absent if it was never queued. */
   standing?: RequestStanding | undefined;
 };
 
--- a/packages/decisions/src/dispatch/latency_ratio.ts
+++ b/packages/decisions/src/dispatch/latency_ratio.ts
@@ -5,9 +5,9 @@
  * Engines differ widely in speed. Balanced by the number of requests alone, the
  * slowest engines would get as many as the fastest, and their long responses
  * would miss the deadline. Latencies are learned from responses, relative to
- * nominal ones, so that no engine's speed has to be configured. What was
- * learned of a server that is sent no requests fades; otherwise one slow
- * response would exclude it for good.
+ * nominal ones, so that no engine's speed has to be configured. Without new
+ * responses, what was learned of a server is gradually discarded; otherwise one
+ * slow response would exclude it for good.
  * @module
  */
 import type { Cost } from "../queueing/mod.ts";
@@ -28,8 +28,8 @@
 const MINIMUM_RATIO = 0.1;
 const MAXIMUM_RATIO = 5;
 /**
- * Milliseconds after the last observation from which on a ratio fades; it fades
- * to a third in the same time again.
+ * Milliseconds after the last observation until a ratio starts to return to its
+ * fallback. In the same time again, the difference decays to 1/e.
  */
 const FADE_TIME = 4000;
 
@@ -51,19 +51,19 @@
   return cost.promptTokens === 0 ? 0 : cost.outputTokens * TIME_PER_TOKEN;
 }
 
-/** Nominal milliseconds of a whole request, in which it occupies a slot. */
-export function nominalTotalTime(cost: Cost): number {
+/** Nominal milliseconds of a whole run, in which it occupies a slot. */
+export function nominalRunTime(cost: Cost): number {
   return nominalFirstTokenTime(cost) + nominalDecodeTime(cost);
 }
 
 /**
- * Nominal milliseconds of slot time that a request costs. Beside its own time
- * this is the delay of other responses, as prefill is interleaved with their
- * decoding.
+ * Nominal milliseconds of slot time that a request costs: its own time, and the
+ * time by which it delays other responses, as its prefill is interleaved with
+ * their decoding.
  */
 export function nominalSlotTime(cost: Cost): number {
   const prefillTime = cost.promptTokens / PROMPT_TOKENS_PER_MILLISECOND;
-  return nominalTotalTime(cost) + prefillTime * DELAYED_BY_PREFILL;
+  return nominalRunTime(cost) + prefillTime * DELAYED_BY_PREFILL;
 }
 
 /**
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Above 1 is slower than nominal. Fades to `fallback`, which is also the
-   * start.
+   * Above 1 is slower than nominal. This is `fallback` before the first
+   * observation, and returns to it when no further ones follow.
    */
   value(now: number, fallback: number): number {
     if (this.#ratio === undefined) return fallback;
--- a/packages/decisions/src/dispatch/pooled_server.ts
+++ b/packages/decisions/src/dispatch/pooled_server.ts
@@ -22,7 +22,10 @@
  * in their responses exceed the 250 ms that callers accept.
  */
 const MAXIMUM_PENDING_PREFILL = 400;
-/** Fraction of the time left that a response may be expected to take. */
+/**
+ * Fraction of the time to the deadline that a response may be expected to take
+ * after its first token at a server slower than the service's average.
+ */
 const MAXIMUM_RUN_FRACTION = 0.6;
 /** Milliseconds without new requests after a failed connection attempt. */
 const FIRST_BACKOFF = 250;
@@ -104,7 +107,7 @@
   /**
    * Slots that the group can use. They are fewer than its fraction of the
    * server's slots if the rate limit lets fewer requests start within
-   * `runTime`, the mean time of a request in milliseconds.
+   * `runTime`, the mean run time of a request in milliseconds.
    */
   usableSlots(
     { fractions, limit }: UsageBounds,
--- a/packages/decisions/src/dispatch/request_queue.ts
+++ b/packages/decisions/src/dispatch/request_queue.ts
@@ -35,7 +35,7 @@
   }
 }
 
-/** What a visitor decides on a request: remove it, leave it, or stop there. */
+/** What a visitor decides on a request: take it, pass it over, or stop. */
 export type VisitResult = "taken" | "passed_over" | "stop";
 
 /** Weight of the insertion order among requests of the same millisecond. */
--- a/packages/decisions/src/dispatch/response_value.ts
+++ b/packages/decisions/src/dispatch/response_value.ts
@@ -11,7 +11,7 @@
 
 /**
  * Value of a response of size zero, relative to one of mean size. This and the
- * next three are weights that users give to responses.
+ * next three constants state what responses are worth to users.
  */
 const MINIMUM_VALUE = 0.3;
 /** Value that a response gains for each multiple of the mean size. */
@@ -19,7 +19,7 @@
 /** Maximum value, as a multiple of the mean response's. */
 const MAXIMUM_VALUE = 4;
 /** Number of prompt tokens that have the value of one token of the response. */
-const PROMPT_TOKENS_PER_TOKEN = 10;
+const PROMPT_TOKENS_PER_OUTPUT_TOKEN = 10;
 /**
  * Weight of the newest size in the mean, which covers about the last hundred.
  */
@@ -52,5 +52,5 @@
 /** Returns the size that a response is valued by; 0 for a plain call. */
 export function weightedTokens(cost: Cost): number {
   if (cost.promptTokens === 0) return 0;
-  return cost.promptTokens + PROMPT_TOKENS_PER_TOKEN * cost.outputTokens;
+  return cost.promptTokens + PROMPT_TOKENS_PER_OUTPUT_TOKEN * cost.outputTokens;
 }
--- a/packages/decisions/src/dispatch/retry_after.ts
+++ b/packages/decisions/src/dispatch/retry_after.ts
@@ -4,16 +4,20 @@
 /** Delay in milliseconds while the service has no server. */
 const RETRY_WITHOUT_SERVER = 300;
 /**
- * Maximum milliseconds after a refusal for lack of capacity. This is longer
+ * Maximum delay in milliseconds while the service has servers. This is longer
  * than a burst, since a caller that retries within the same burst is refused
- * for good. Callers wait for a third of their time left at most. Jitter spreads
- * the delay over its upper half, so that callers refused together do not retry
- * together.
+ * for good.
  */
 const MAXIMUM_DELAY = 5000;
-/** Maximum delay as a fraction of the time to the deadline. */
+/**
+ * Maximum delay as a fraction of the time to the deadline: callers wait no
+ * longer.
+ */
 const MAXIMUM_FRACTION_OF_TIME_LEFT = 1 / 3;
-/** Fraction of the delay that jitter takes off at most. */
+/**
+ * Maximum fraction of the delay that jitter takes off, so that callers refused
+ * together do not retry together.
+ */
 const JITTER_FRACTION = 0.5;
 
 /** Returns the milliseconds after which a refused caller may retry. */
--- a/packages/decisions/src/dispatch/server_pool.ts
+++ b/packages/decisions/src/dispatch/server_pool.ts
@@ -23,7 +23,7 @@
 
 /**
  * Milliseconds by which a server in another data centre must be faster to be
- * preferred, since traffic between data centres is charged.
+ * preferred, since traffic between data centres costs money.
  */
 const REMOTE_PENALTY = 60;
 /**
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Slots that this group of entries can use. `runTime` is the mean time of a
-   * request in milliseconds.
+   * Slots that this group of entries can use. `runTime` is the mean run time of
+   * a request in milliseconds.
    */
   usableSlots(runTime: number): number {
     let slots = 0;
@@ -267,7 +267,7 @@
   }
 
   /** Milliseconds for which the request is expected to occupy a slot. */
-  expectedSlotTime(request: GrantRequest, now: number): number {
+  expectedRunTime(request: GrantRequest, now: number): number {
     const { firstToken, decode } = this.#latencyRatios(now);
     return firstToken * nominalFirstTokenTime(request.cost) +
       decode * nominalDecodeTime(request.cost);
--- a/packages/decisions/src/dispatch/service_demand.ts
+++ b/packages/decisions/src/dispatch/service_demand.ts
@@ -2,19 +2,21 @@
  * Measures whether demand for a service exceeds its capacity, and for which
  * requests no capacity is left then.
  *
- * If requests that go first take up all capacity while a caller waits, it is
- * better refused at once, with a retry delay, than held until it disconnects.
+ * If requests that are served first take up all capacity, a request is better
+ * refused at once, with a retry delay, than kept waiting until its caller
+ * disconnects.
  * @module
  */
 
 /**
- * Milliseconds over which arrivals are counted; longer than a cluster of them.
+ * Milliseconds over which arrivals are counted; longer than a cluster of
+ * arrivals lasts.
  */
 const ARRIVAL_WINDOW = 2000;
 /** Milliseconds over which grants are counted. */
 const GRANT_WINDOW = 1000;
 
-type Arrival = { at: number; key: number; time: number };
+type Arrival = { at: number; key: number; runTime: number };
 
 /** Recent arrivals and grants of one service. */
 export class ServiceDemand {
@@ -25,9 +27,9 @@
     this.#grants.push(now);
   }
 
-  /** `time` is the expected slot time of the request in milliseconds. */
-  recordArrival(key: number, time: number, now: number): void {
-    this.#arrivals.push({ at: now, key, time });
+  /** `runTime` is the expected run time of the request in milliseconds. */
+  recordArrival(key: number, runTime: number, now: number): void {
+    this.#arrivals.push({ at: now, key, runTime });
   }
 
   /** Grants in the last second. */
@@ -36,15 +38,15 @@
     return this.#grants.length;
   }
 
-  /** Mean expected slot time of recent requests, in milliseconds. */
-  meanSlotTime(now: number): number {
+  /** Mean expected run time of recent requests, in milliseconds. */
+  meanRunTime(now: number): number {
     this.#arrivals = itemsSince(
       this.#arrivals,
       now - ARRIVAL_WINDOW,
       ({ at }) => at,
     );
     let time = 0;
-    for (const arrival of this.#arrivals) time += arrival.time;
+    for (const arrival of this.#arrivals) time += arrival.runTime;
     return time / Math.max(1, this.#arrivals.length);
   }
 
@@ -60,7 +62,7 @@
     );
     let time = 0;
     for (const arrival of this.#arrivals) {
-      if (arrival.key < key) time += arrival.time;
+      if (arrival.key < key) time += arrival.runTime;
     }
     return time > slots * ARRIVAL_WINDOW;
   }
--- a/packages/decisions/src/dispatch/service_scheduler.ts
+++ b/packages/decisions/src/dispatch/service_scheduler.ts
@@ -110,8 +110,8 @@
       return this.#refusal(request, "no_server", now);
     }
     const queued = this.#queuedRequest(request, now);
-    const time = this.#pool.expectedSlotTime(request, now);
-    this.#demand.recordArrival(queued.key, time, now);
+    const runTime = this.#pool.expectedRunTime(request, now);
+    this.#demand.recordArrival(queued.key, runTime, now);
     this.#queue.push(queued);
     return undefined;
   }
@@ -291,8 +291,8 @@
       value,
       requestClass,
     });
-    // Shortly after the process has started it is slow itself, which raises the
-    // expected times. They must not cause refusals while a slot is free.
+    // Shortly after its start this process is slow itself, which raises the
+    // expected times. These must not cause refusals while a slot is free.
     if (!this.#pool.hasFreeSlot(now) && this.#exceedsCapacity(late.key, now)) {
       const { standing } = queued;
       decisions.push(this.#refusal(request, "overload", now, standing));
@@ -302,7 +302,7 @@
   }
 
   #exceedsCapacity(key: number, now: number): boolean {
-    const slots = this.#pool.usableSlots(this.#demand.meanSlotTime(now));
+    const slots = this.#pool.usableSlots(this.#demand.meanRunTime(now));
     return this.#demand.exceedsCapacity(key, slots, now);
   }
 
--- a/packages/decisions/src/dispatch/size_fairness.ts
+++ b/packages/decisions/src/dispatch/size_fairness.ts
@@ -32,12 +32,12 @@
  */
 const MINIMUM_RELATIVE_FRACTION = 0.6;
 /**
- * Number of requests of a priority class in which its counts decay to a third,
- * so that what was served before a burst hardly offsets what is refused in it.
+ * Number of requests of a priority class in which its counts decay to 1/e, so
+ * that what was served before a burst hardly offsets what is refused in it.
  */
-const MEMORY = 300;
-/** Factor of the counts for each request. */
-const DECAY = Math.exp(-1 / MEMORY);
+const DECAY_REQUESTS = 300;
+/** Factor by which each request of a priority class reduces its counts. */
+const DECAY_FACTOR = Math.exp(-1 / DECAY_REQUESTS);
 /**
  * Number of requests of a priority class before its fractions are significant.
  */
@@ -66,8 +66,8 @@
   }
 
   decay(): void {
-    this.#requests *= DECAY;
-    this.#grants *= DECAY;
+    this.#requests *= DECAY_FACTOR;
+    this.#grants *= DECAY_FACTOR;
   }
 }
 
