--- a/packages/decisions/src/estimates/drain_rate.ts
+++ b/packages/decisions/src/estimates/drain_rate.ts
@@ -42,6 +42,7 @@
     if (this.#firstObservedAt === undefined) {
       return undefined;
     }
+    // At least a second: the first observations would give a far too high rate.
     const age = Math.max(1000, now - this.#firstObservedAt);
     return this.#decayed(now) /
       (DECAY_TIME * (1 - Math.exp(-age / DECAY_TIME)));
--- a/packages/decisions/src/estimates/service_time_estimator.ts
+++ b/packages/decisions/src/estimates/service_time_estimator.ts
@@ -4,7 +4,8 @@
  *
  * Engines differ in speed, and requests may have little time left. A request
  * granted to an engine that cannot complete it in time wastes its whole
- * prefill; so does one that was held back by an estimate from a faster engine.
+ * prefill; so does one that was kept waiting because of an estimate from a
+ * faster engine.
  *
  * The time to first token is a base plus a time per prompt token, by linear
  * regression with exponential forgetting. The decode time is proportional to
--- a/packages/decisions/src/fleet/entry_group.ts
+++ b/packages/decisions/src/fleet/entry_group.ts
@@ -87,12 +87,12 @@
 
 /** Returns the fractions that this entry may grant as the granting entry. */
 export function groupFractions(view: GroupView): GroupFractions {
-  const { reachable: present, shares, reportedTotalShares: stated } = view;
-  const asking = present.filter(({ asksThisEntry: asks }) => asks);
+  const { reachable, shares, reportedTotalShares } = view;
+  const asking = reachable.filter(({ asksThisEntry }) => asksThisEntry);
   const atFullShare = [...shares].filter(([, share]) => share === 1)
     .map(([name]) => name);
   const counted = new Set([...atFullShare, ...asking.map(({ name }) => name)]);
-  const fleet = Math.max(totalShares(view), stated);
+  const fleet = Math.max(totalShares(view), reportedTotalShares);
   const used = sum(asking.map(shareInUse));
   return {
     room: counted.size === 0 ? 0 : asking.length / counted.size,
@@ -100,7 +100,7 @@
   };
 }
 
-/** Share that the entry itself uses; reduced once the others may not count it. */
+/** Share that the entry uses; reduced once others may not count it in full. */
 function shareInUse({ listed }: ReachableEntry): number {
   return listed ? 1 : REDUCED_SHARE;
 }
--- a/packages/decisions/src/fleet/heartbeat_plan.ts
+++ b/packages/decisions/src/fleet/heartbeat_plan.ts
@@ -2,11 +2,11 @@
  * Schedules heartbeats to peers and sets the timeouts for detecting their loss.
  *
  * With a fixed rate between all pairs of entries, the cost to each entry grows
- * with the fleet. Fast failure detection is needed only between grant peers: two
- * entries of which one grants for the other. Grant peers exchange heartbeats
- * every round unless other messages were sent recently. All other peers are
- * served round-robin, a fixed number per round, and each heartbeat states the
- * maximum time until the next one.
+ * with the fleet. Fast failure detection is needed only between grant peers:
+ * two entries of which one grants for the other. Grant peers exchange
+ * heartbeats every round unless other messages were sent recently. All other
+ * peers are served round-robin, a fixed number per round, and each heartbeat
+ * states the maximum time until the next one.
  * @module
  */
 
@@ -14,7 +14,7 @@
 export const HEARTBEAT_EVERY = 200;
 /** Milliseconds of silence after which the link to a grant peer is closed. */
 export const SILENT_AFTER = 700;
-/** Milliseconds of silence of the granting entry after which peers are probed. */
+/** Milliseconds of silence of the granting entry until peers are probed. */
 export const SUSPECTED_AFTER = 400;
 /** Peers other than grant peers that receive a heartbeat per round. */
 const ROUND_ROBIN_BATCH = 2;
@@ -50,7 +50,7 @@
   return [...grantPeers, ...others].map(({ name }) => name);
 }
 
-/** Maximum milliseconds between heartbeats to each of `peers` in round-robin. */
+/** Maximum milliseconds between round-robin heartbeats to each of `peers`. */
 export function roundRobinInterval(peers: number): number {
   const rounds = Math.ceil(peers / ROUND_ROBIN_BATCH);
   return Math.max(1, rounds) * HEARTBEAT_EVERY;
--- a/packages/decisions/src/fleet/membership_list.ts
+++ b/packages/decisions/src/fleet/membership_list.ts
@@ -27,7 +27,7 @@
   /** Unregistered entries, with the end of their grace period. */
   readonly #graceEnds = new Map<string, number>();
   /** Entries that announced that they stop. */
-  readonly #leaving = new Set<string>();
+  readonly #draining = new Set<string>();
 
   /** Replaces the registered entries. */
   replace(names: Iterable<string>, now: number): void {
@@ -44,7 +44,7 @@
   markRegistered(name: string): void {
     this.#registered.add(name);
     this.#graceEnds.delete(name);
-    this.#leaving.delete(name);
+    this.#draining.delete(name);
   }
 
   /** Starts the grace period of an entry whose registration is gone. */
@@ -59,7 +59,7 @@
    * it after its grace period.
    */
   markLeaving(name: string): void {
-    this.#leaving.add(name);
+    this.#draining.add(name);
   }
 
   /**
@@ -107,10 +107,10 @@
 
   #removeExpired(now: number): void {
     for (const [name, graceEnd] of this.#graceEnds) {
-      const duration = this.#leaving.has(name) ? 0 : REDUCED_SHARE_DURATION;
+      const duration = this.#draining.has(name) ? 0 : REDUCED_SHARE_DURATION;
       if (now < graceEnd + duration) continue;
       this.#graceEnds.delete(name);
-      this.#leaving.delete(name);
+      this.#draining.delete(name);
     }
   }
 }
--- a/packages/decisions/src/fleet/watch_timeouts.ts
+++ b/packages/decisions/src/fleet/watch_timeouts.ts
@@ -16,8 +16,8 @@
  */
 
 /**
- * Maximum milliseconds; the store discards its history of changes after about
- * 20 s.
+ * Maximum timeout in milliseconds; the store discards its history of changes
+ * after about 20 s.
  */
 const MAXIMUM_TIMEOUT = 16_000;
 
@@ -34,7 +34,7 @@
   readonly #shortestTimeout: number;
   #rotation = 0;
 
-  /** `shortest`: the shortest timeout in a group, in milliseconds. */
+  /** `shortest` is the shortest timeout in a group, in milliseconds. */
   constructor(shortest: number) {
     this.#shortestTimeout = shortest;
   }
--- a/packages/decisions/src/limits/adaptive_bound.ts
+++ b/packages/decisions/src/limits/adaptive_bound.ts
@@ -17,16 +17,17 @@
  */
 
 /**
- * Strongest cut in one window, as a factor. A drop to a fifth of the speed is
- * followed within four windows.
+ * Factors of the strongest and the weakest cut in one window. With the
+ * strongest, a drop to a fifth of the speed is followed within four windows.
  */
 const MIN_CUT_FACTOR = 0.6;
 const MAX_CUT_FACTOR = 0.95;
 
 /**
- * Growth per window beyond the point at which work waited inside the engine;
- * adds up to a tenth in half a minute. Each probe that reaches this point again
- * delays the work behind it until a response has finished.
+ * Growth per window, as a fraction, beyond the point at which work waited
+ * inside the engine; it adds up to a tenth in half a minute. Each probe that
+ * reaches this point again delays the work behind it until a response has
+ * finished.
  */
 const PROBING_GROWTH = 0.002;
 
@@ -76,7 +77,7 @@
    * Ends a window whose time was below the goal by the share `headroom`, from 0
    * to 1.
    *
-   * Grows by the share `headroom`, by at least `step`, and only if the bound
+   * The bound grows by the same share, but by at least `step`, and only if it
    * refused work. A bound that is ten times too low recovers within half a
    * dozen windows, and it does not overshoot as long as the time grows no
    * faster than the amount in use.
--- a/packages/decisions/src/limits/attainable_goal.ts
+++ b/packages/decisions/src/limits/attainable_goal.ts
@@ -11,6 +11,7 @@
 
 /** Up to this many sequences, an engine runs at its unloaded speed. */
 export const MAX_UNLOADED_SEQUENCES = 4;
+/** Factor of the unloaded time that is tolerated. */
 const UNLOADED_TOLERANCE = 2;
 
 /** All times are in milliseconds. */
--- a/packages/decisions/src/limits/bound_controller.ts
+++ b/packages/decisions/src/limits/bound_controller.ts
@@ -2,7 +2,7 @@
  * Decides after each measurement window whether bounds are cut, raised or held.
  * A single slow window may be caused by a garbage collection or a lost packet,
  * so a cut takes two in a row, unless the first already took four times the
- * goal. The faster of the two determines how deep the cut is.
+ * goal. The faster of the two determines the strength of the cut.
  * @module
  */
 import type { AdaptiveBound } from "./adaptive_bound.ts";
@@ -12,6 +12,7 @@
  * don't oscillate around it.
  */
 const GROWTH_THRESHOLD = 0.9;
+/** Factor of the goal from which a single window causes a cut. */
 const IMMEDIATE_CUT_EXCESS = 4;
 
 /** A bound with its minimum growth and the amount in use. */
--- a/packages/decisions/src/limits/call_limit.ts
+++ b/packages/decisions/src/limits/call_limit.ts
@@ -27,11 +27,17 @@
 import { LatencyHistogram } from "./latency_histogram.ts";
 import { BoundController } from "./bound_controller.ts";
 
+/** Minimum window length in milliseconds. */
 const WINDOW_LENGTH = 250;
+/** Minimum number of calls that end in a window; it lasts longer with fewer. */
 const MIN_WINDOW_CALLS = 8;
+/** Factor of the unloaded latency that is tolerated. */
 const LATENCY_TOLERANCE = 2;
+/** A server that runs no more calls than this counts as unloaded. */
 const MAX_UNLOADED_CALLS = 2;
+/** The same as a share of the limit; the larger of the two numbers applies. */
 const MAX_UNLOADED_SHARE = 0.5;
+/** Share of failed calls above which a window counts as overloaded. */
 const MAX_FAILED_SHARE = 0.5;
 /**
  * Failures may be caused by load: a window of mostly failed calls is treated as
--- a/packages/decisions/src/limits/concurrency_limit.ts
+++ b/packages/decisions/src/limits/concurrency_limit.ts
@@ -10,8 +10,8 @@
 /**
  * An adaptive concurrency limit, derived from the measured behaviour of the
  * server rather than configured. A request counts as running from
- * {@link ConcurrencyLimit.recordStart} to {@link ConcurrencyLimit.recordEnd}; events
- * with unknown ids are ignored.
+ * {@link ConcurrencyLimit.recordStart} to {@link ConcurrencyLimit.recordEnd};
+ * events with unknown ids are ignored.
  */
 export abstract class ConcurrencyLimit {
   /**
--- a/packages/decisions/src/limits/latency_histogram.ts
+++ b/packages/decisions/src/limits/latency_histogram.ts
@@ -6,6 +6,7 @@
  * @module
  */
 
+/** Milliseconds; shorter times count as this. */
 const MIN_TIME = 0.1;
 const BUCKET_GROWTH = 1.1;
 const LOG_BUCKET_GROWTH = Math.log(BUCKET_GROWTH);
--- a/packages/decisions/src/limits/prefill_rate.ts
+++ b/packages/decisions/src/limits/prefill_rate.ts
@@ -15,7 +15,9 @@
  * a second of an older engine.
  */
 const INITIAL_RATE = 2;
+/** Milliseconds of prefilling that the initial rate counts as. */
 const INITIAL_WEIGHT = 500;
+/** In tokens per millisecond. */
 const MIN_RATE = 0.01;
 /**
  * The time of a prompt that was blocked says nothing about the prefill rate,
--- a/packages/decisions/src/limits/recent_minimum.ts
+++ b/packages/decisions/src/limits/recent_minimum.ts
@@ -6,6 +6,7 @@
  * @module
  */
 
+/** In milliseconds. */
 const PERIOD = 10_000;
 
 /**
--- a/packages/decisions/src/limits/token_limit.ts
+++ b/packages/decisions/src/limits/token_limit.ts
@@ -58,7 +58,11 @@
  */
 export const TIME_TO_FIRST_TOKEN_GOAL = 1300;
 
+/**
+ * Share of the goal for the first token that prompts before a new one may take.
+ */
 const PREFILL_SHARE = 0.125;
+/** Share of the prefill limit that long requests may use. */
 const LONG_PREFILL_SHARE = 0.5;
 /**
  * Share of the goal for the first token that a short request may wait for a
@@ -76,6 +80,7 @@
 const INITIAL_TOKENS = 32_768;
 const MIN_TOKENS = 256;
 const MAX_TOKENS = 1 << 26;
+/** Minimum growth of the bound on tokens. */
 const TOKEN_STEP = 512;
 
 /** Options of a {@link TokenLimit}; the goals are in milliseconds. */
--- a/packages/decisions/src/mod.ts
+++ b/packages/decisions/src/mod.ts
@@ -1,4 +1,7 @@
-/** Decisions under load, without access to network, clock or randomness. @module */
+/**
+ * Decisions under load, without access to network, clock or randomness.
+ * @module
+ */
 export * from "./discovery/mod.ts";
 export * from "./dispatch/mod.ts";
 export * from "./ejection/mod.ts";
--- a/packages/decisions/src/moves/move_steps.ts
+++ b/packages/decisions/src/moves/move_steps.ts
@@ -9,9 +9,8 @@
  *
  * The phase `complete` may only be written until a guard time before the
  * deadline. A move whose record is not complete at the deadline counts as taken
- * back at every process that knows it, with or without the key-value service. A
- * good version loses no more by an outage around the deadline than this one
- * move.
+ * back at every process that knows it, with or without the key-value service.
+ * An outage around the deadline costs a good version this one move at most.
  *
  * The guard time of 20 s consists of 12 s for a record to reach every process,
  * 2 s for the timeout of a call, 5 s for a write that the service applies after
@@ -152,10 +151,9 @@
 }
 
 /**
- * Parts of its allotted time after which a step with sufficient, or with
- * little, evidence ends. With 0.9 the last step could end within one period of
- * the driver before the guard time, and good versions were occasionally taken
- * back.
+ * Fractions of its allotted time after which a step with sufficient, or with
+ * little, evidence ends. With 0.9 the last step may end within one period of
+ * the driver before the guard time, and then a good version is taken back.
  */
 const FULL_EVIDENCE_TIME = 0.5;
 const SPARSE_EVIDENCE_TIME = 0.6;
--- a/packages/decisions/src/placement/backend_server_set.ts
+++ b/packages/decisions/src/placement/backend_server_set.ts
@@ -28,11 +28,12 @@
 import { ServerGroup } from "./server_group.ts";
 
 /**
- * Up to this number of sidecars of a service, an entry keeps links to all of
- * them.
+ * Up to this number of sidecars of a service in its own data centre, an entry
+ * keeps links to all of them.
  */
 export const FULL_MESH_LIMIT = 16;
 
+/** Number of links for each {@link Distance}. */
 const SUBSET_SIZES = [16, 8, 4] as const;
 
 /** Candidates drawn for each server chosen. */
@@ -76,11 +77,11 @@
   readonly #allowed: (name: string, now: number) => boolean;
   readonly #servers = new Map<string, BackendServer>();
   /**
-   * Names of the servers that may be chosen: neither leaving nor reported
+   * Names of the servers that may be chosen: neither draining nor reported
    * unhealthy.
    */
   readonly #eligible = new Set<string>();
-  readonly #leaving = new Set<string>();
+  readonly #draining = new Set<string>();
   readonly #groups = new Map<string | undefined, ServerGroup>();
 
   constructor(
@@ -142,15 +143,15 @@
     if (server === undefined) return;
     this.#makeIneligible(server);
     this.#servers.delete(name);
-    this.#leaving.delete(name);
+    this.#draining.delete(name);
   }
 
   /**
-   * Excludes a leaving server from all later choices until it is removed. The
+   * Excludes a draining server from all later choices until it is removed. The
    * instance list lags and would offer the server again for seconds.
    */
   markLeaving(name: string): void {
-    this.#leaving.add(name);
+    this.#draining.add(name);
     const server = this.#servers.get(name);
     if (server !== undefined) this.#makeIneligible(server);
   }
@@ -283,7 +284,7 @@
   }
 
   #makeEligible(server: BackendServer): void {
-    if (this.#leaving.has(server.name)) return;
+    if (this.#draining.has(server.name)) return;
     if (this.#eligible.has(server.name)) return;
     this.#eligible.add(server.name);
     for (const key of groupKeys(server)) {
--- a/packages/decisions/src/queueing/tier_queue.ts
+++ b/packages/decisions/src/queueing/tier_queue.ts
@@ -101,8 +101,8 @@
   /**
    * Returns the first reservation of each size class, in the order in which
    * they are to be served. Those of one organisation have the same start tag;
-   * the older one comes first, because its short work would otherwise always
-   * overtake its long work.
+   * of these the older one comes first, because otherwise the organisation's
+   * short work would always overtake its long work.
    */
   heads(): QueuedReservation[] {
     const heads: QueuedReservation[] = [];
--- a/packages/decisions/src/queueing/waiting_queue.ts
+++ b/packages/decisions/src/queueing/waiting_queue.ts
@@ -177,7 +177,7 @@
 
   /**
    * Corrects the charge of a taken reservation once its actual cost is known.
-   * An actual cost of 0, as for a lapsed grant, refunds the whole charge.
+   * An actual cost of 0, as for an expired grant, refunds the whole charge.
    */
   correctCharge(reservation: WaitingReservation, actual: Cost): void {
     const difference = this.#workOf(actual) - this.#workOf(reservation.cost);
--- a/packages/decisions/src/suspects/suspects.ts
+++ b/packages/decisions/src/suspects/suspects.ts
@@ -47,6 +47,7 @@
  */
 const DUPLICATE_CRASH_WINDOW = 10_000;
 const MAXIMUM_FINGERPRINTS = 4096;
+/** Maximum number of servers of which the last crash is remembered. */
 const MAXIMUM_CRASHES = 256;
 
 type Crash = { at: number; fingerprints: ReadonlySet<string> };
@@ -217,8 +218,8 @@
   }
 }
 
-function evictOldest<Value>(map: Map<string, Value>, largest: number): void {
-  if (map.size <= largest) return;
+function evictOldest<Value>(map: Map<string, Value>, capacity: number): void {
+  if (map.size <= capacity) return;
   const [oldest] = map.keys();
   if (oldest !== undefined) map.delete(oldest);
 }
