--- a/packages/decisions/test/group_fractions_test.ts
+++ b/packages/decisions/test/group_fractions_test.ts
@@ -27,7 +27,7 @@
 ): GroupFractions {
   const { members, peers, grantingEntryOf, listed = () => true, now = 0 } =
     view;
-  const present: ReachableEntry[] = [...new Set([name, ...peers])].map((
+  const reachable: ReachableEntry[] = [...new Set([name, ...peers])].map((
     entry,
   ) => ({
     name: entry,
@@ -35,12 +35,8 @@
     asksThisEntry: grantingEntryOf(entry) === name,
   }));
   const shares = members.shares(now);
-  const stated = totalShares({ reachable: present, shares });
-  return groupFractions({
-    reachable: present,
-    shares,
-    reportedTotalShares: stated,
-  });
+  const reportedTotalShares = totalShares({ reachable, shares });
+  return groupFractions({ reachable, shares, reportedTotalShares });
 }
 
 t.test("the fractions of disconnected groups add up to one", (t) => {
@@ -98,15 +94,15 @@
 
 t.test("the larger total of shares counts, a peer's or the entry's own", (t) => {
   // An entry that has just started does not know unregistered entries.
-  const present = [{ name: "d", listed: true, asksThisEntry: true }];
+  const reachable = [{ name: "d", listed: true, asksThisEntry: true }];
   const shares = membersOf(["d"]).shares(0);
   t.equal(
-    groupFractions({ reachable: present, shares, reportedTotalShares: 5 })
+    groupFractions({ reachable, shares, reportedTotalShares: 5 })
       .quota,
     0.2,
   );
   t.equal(
-    groupFractions({ reachable: present, shares, reportedTotalShares: 0 })
+    groupFractions({ reachable, shares, reportedTotalShares: 0 })
       .quota,
     1,
   );
@@ -145,7 +141,7 @@
   t.end();
 });
 
-t.test("an entry that announced its end keeps no share after the grace period", (t) => {
+t.test("an entry that announced its stop keeps no share after the grace period", (t) => {
   const members = membersOf(NAMES);
   members.markLeaving("e");
   members.markUnregistered("e", 0);
--- a/packages/decisions/test/heartbeat_plan_test.ts
+++ b/packages/decisions/test/heartbeat_plan_test.ts
@@ -9,7 +9,7 @@
 
 const SECONDS = 60;
 
-/** Returns the heartbeat rate and the longest interval between two to one peer. */
+/** Returns the heartbeats per second and the longest interval at any peer. */
 function simulate(entries: number, granting: boolean) {
   const peers: HeartbeatPeer[] = [];
   for (let index = 1; index < entries; index++) {
--- a/packages/decisions/test/limited_scheduler_test.ts
+++ b/packages/decisions/test/limited_scheduler_test.ts
@@ -112,7 +112,7 @@
 });
 
 t.test("requests beyond the limits of all servers are refused early", (t) => {
-  // They waited until they expired for slots that the limits kept free.
+  // They would wait for slots that the limits keep free, until they expire.
   const scheduler = schedulerOf(["x", "y"], limitsOf(["x", "y"]));
   const decisions = runLoad(scheduler, { from: 10, end: 10_000, spacing: 20 });
   const waits: number[] = [];
--- a/packages/decisions/test/move_fixtures.ts
+++ b/packages/decisions/test/move_fixtures.ts
@@ -38,7 +38,7 @@
   evidence: [],
 };
 
-export function factsWith(ended: number, capacityShare = 1): MoveInputs {
+export function inputsWith(ended: number, capacityShare = 1): MoveInputs {
   return {
     verdict: { kind: "undecided" },
     evidence: [evidence("chat", [1000, 0, 0], [ended, 0, 0])],
--- a/packages/decisions/test/move_judge_test.ts
+++ b/packages/decisions/test/move_judge_test.ts
@@ -9,7 +9,7 @@
 } from "../src/mod.ts";
 import { createRandom, evidence } from "./move_fixtures.ts";
 
-t.test("three failures on the new version only reject it", (t) => {
+t.test("three failures that only the new version has reject it", (t) => {
   const judge = new MoveJudge();
   for (let second = 0; second < 3; second++) {
     t.equal(judge.verdict.kind, "undecided");
@@ -101,19 +101,34 @@
 });
 
 t.test("a call above the old version's threshold counts as slow", (t) => {
-  const tally = new EvidenceCollector();
+  const collector = new EvidenceCollector();
   for (let call = 0; call < 500; call++) {
     const slowness = 1 + (call % 10) / 10;
-    tally.recordCall({ route: "chat", side: "from", failed: false, slowness });
+    collector.recordCall({
+      route: "chat",
+      side: "from",
+      failed: false,
+      slowness,
+    });
   }
-  tally.flush();
-  tally.recordCall({ route: "chat", side: "to", failed: false, slowness: 4 });
-  tally.recordCall({ route: "chat", side: "to", failed: false, slowness: 1 });
-  tally.recordCall({ route: "chat", side: "to", failed: true });
-  const [taken] = tally.flush();
-  t.strictSame(taken?.to, { ended: 3, failed: 1, slow: 1 });
-  t.strictSame(tally.flush(), []);
-  const merged = mergeEvidence([taken!, taken!]);
+  collector.flush();
+  collector.recordCall({
+    route: "chat",
+    side: "to",
+    failed: false,
+    slowness: 4,
+  });
+  collector.recordCall({
+    route: "chat",
+    side: "to",
+    failed: false,
+    slowness: 1,
+  });
+  collector.recordCall({ route: "chat", side: "to", failed: true });
+  const [flushed] = collector.flush();
+  t.strictSame(flushed?.to, { ended: 3, failed: 1, slow: 1 });
+  t.strictSame(collector.flush(), []);
+  const merged = mergeEvidence([flushed!, flushed!]);
   t.strictSame(merged[0]?.to, { ended: 6, failed: 2, slow: 2 });
   t.end();
 });
--- a/packages/decisions/test/move_steps_test.ts
+++ b/packages/decisions/test/move_steps_test.ts
@@ -10,13 +10,13 @@
   VersionFailureDetector,
 } from "../src/mod.ts";
 import type { MoveInputs, MoveRecord } from "../src/mod.ts";
-import { factsWith, record } from "./move_fixtures.ts";
+import { inputsWith, record } from "./move_fixtures.ts";
 
 t.test("a move to a good version completes in steps before the guard time", (t) => {
   let current = record;
   const shares: number[] = [];
   for (let now = 0; now < record.deadline; now += 1000) {
-    const next = nextStep(current, factsWith(now / 100), now);
+    const next = nextStep(current, inputsWith(now / 100), now);
     if (next === undefined) continue;
     t.ok(v.is(moveRecordSchema, next));
     shares.push(next.share);
@@ -32,7 +32,7 @@
   let current = record;
   for (let now = 0; now < record.deadline; now += 1000) {
     const ended = Math.floor(now / 60_000);
-    current = nextStep(current, factsWith(ended), now) ?? current;
+    current = nextStep(current, inputsWith(ended), now) ?? current;
   }
   t.equal(current.phase, "complete");
   t.end();
@@ -40,7 +40,7 @@
 
 t.test("a move to a bad version is taken back, which is final", (t) => {
   const bad: MoveInputs = {
-    ...factsWith(10),
+    ...inputsWith(10),
     verdict: {
       kind: "bad",
       route: "chat",
@@ -49,27 +49,27 @@
       to: { ended: 3, failed: 3, slow: 0 },
     },
   };
-  const trial = nextStep(record, factsWith(0), 0)!;
+  const trial = nextStep(record, inputsWith(0), 0)!;
   const ended = nextStep(trial, bad, 1000)!;
   t.match(ended, { phase: "takenBack", share: 0, reason: "failures" });
-  t.equal(nextStep(ended, factsWith(1000), 2000), undefined);
+  t.equal(nextStep(ended, inputsWith(1000), 2000), undefined);
   t.end();
 });
 
 t.test("a move without capacity or evidence is taken back at the guard time", (t) => {
   const late = record.deadline - COMPLETION_GUARD + 1;
-  const withoutRoom = factsWith(0, 0);
-  t.equal(nextStep(record, withoutRoom, late - 1), undefined);
-  t.match(nextStep(record, withoutRoom, late), { reason: "no_room" });
-  const trial = nextStep(record, factsWith(0), 0)!;
-  t.match(nextStep(trial, factsWith(0), late), { reason: "no_evidence" });
-  t.match(nextStep(trial, factsWith(5), late), { reason: "deadline" });
+  const withoutCapacity = inputsWith(0, 0);
+  t.equal(nextStep(record, withoutCapacity, late - 1), undefined);
+  t.match(nextStep(record, withoutCapacity, late), { reason: "no_room" });
+  const trial = nextStep(record, inputsWith(0), 0)!;
+  t.match(nextStep(trial, inputsWith(0), late), { reason: "no_evidence" });
+  t.match(nextStep(trial, inputsWith(5), late), { reason: "deadline" });
   t.end();
 });
 
 t.test("after an outage at the deadline all processes agree on the outcome", (t) => {
   // Without the rule, each process would keep the share that it read last.
-  const trial = nextStep(record, factsWith(0), 0)!;
+  const trial = nextStep(record, inputsWith(0), 0)!;
   const raising: MoveRecord = { ...trial, phase: "raising", share: 0.25 };
   for (const copy of [record, trial, raising]) {
     t.equal(effectiveOutcome(copy, record.deadline - 1), "running");
@@ -95,13 +95,13 @@
       fc.integer({ min: 0, max: 700_000 }),
       fc.integer({ min: 0, max: 1000 }),
       fc.double({ min: 0, max: 1, noNaN: true }),
-      (phase, step, since, now, ended, room) => {
+      (phase, step, since, now, ended, capacityShare) => {
         const copy: MoveRecord = { ...record, phase, step, since };
-        const next = nextStep(copy, factsWith(ended, room), now);
+        const next = nextStep(copy, inputsWith(ended, capacityShare), now);
         const guarded = now > record.deadline - COMPLETION_GUARD;
         if (guarded) return next?.phase === "takenBack";
         if (next === undefined) return true;
-        return next.share <= room && next.phase !== "takenBack";
+        return next.share <= capacityShare && next.phase !== "takenBack";
       },
     ),
     { seed: 20261202, numRuns: 500 },
@@ -111,11 +111,11 @@
 });
 
 t.test("three failures in a row are detected until the reset", (t) => {
-  const hold = new VersionFailureDetector();
+  const detector = new VersionFailureDetector();
   for (let call = 0; call < 1000; call++) {
-    hold.recordCall("chat", call % 50 === 0);
+    detector.recordCall("chat", call % 50 === 0);
   }
-  t.equal(hold.failingRoute, undefined);
+  t.equal(detector.failingRoute, undefined);
   const fresh = new VersionFailureDetector();
   for (let call = 0; call < 3; call++) fresh.recordCall("chat", true);
   t.equal(fresh.failingRoute, "chat");
@@ -130,8 +130,8 @@
   for (const every of [1000, 2500, 4000]) {
     let current = short;
     for (let now = every; now < short.deadline; now += every) {
-      const facts = factsWith(Math.floor(now / 500));
-      current = nextStep(current, facts, now) ?? current;
+      const inputs = inputsWith(Math.floor(now / 500));
+      current = nextStep(current, inputs, now) ?? current;
     }
     t.equal(current.phase, "complete", `every ${every} ms`);
   }
--- a/packages/decisions/test/placement_test.ts
+++ b/packages/decisions/test/placement_test.ts
@@ -30,7 +30,7 @@
   healthy: true,
 };
 
-t.test("never chooses a leaving, excluded or already chosen server", (t) => {
+t.test("never chooses a draining, excluded or already chosen server", (t) => {
   const names = fc.array(fc.integer({ min: 0, max: 39 }), { maxLength: 30 });
   fc.assert(
     fc.property(
@@ -40,11 +40,11 @@
       fc.integer({ min: 1, max: 8 }),
       fc.option(fc.string(), { nil: undefined }),
       fc.integer(),
-      (size, leaving, excluded, count, prefixKey, seed) => {
+      (size, draining, excluded, count, prefixKey, seed) => {
         const set = createSet(size);
-        for (const index of leaving) set.markLeaving(`s${index}`);
-        // The instance list lags and still contains the leaving servers.
-        for (const index of leaving) {
+        for (const index of draining) set.markLeaving(`s${index}`);
+        // The instance list lags and still contains the draining servers.
+        for (const index of draining) {
           set.add({ name: `s${index}`, dataCentre: "a" }, 1);
         }
         const exclude = new Set(excluded.map((index) => `s${index}`));
@@ -58,10 +58,12 @@
           now,
           random,
         });
-        const leavingNames = new Set(leaving.map((index) => `s${index}`));
+        const drainingNames = new Set(draining.map((index) => `s${index}`));
         return chosen.length <= count &&
           new Set(chosen).size === chosen.length &&
-          chosen.every((name) => !exclude.has(name) && !leavingNames.has(name));
+          chosen.every((name) =>
+            !exclude.has(name) && !drainingNames.has(name)
+          );
       },
     ),
     { seed: SEED, numRuns: 300 },
--- a/packages/decisions/test/quota_order_test.ts
+++ b/packages/decisions/test/quota_order_test.ts
@@ -36,7 +36,7 @@
 }
 
 t.test("an organisation gets its quota also while many of its requests wait", (t) => {
-  // Charged on arrival, requests that expired used up half of the quota.
+  // If charged on arrival, requests that expire use up half of the quota.
   for (const seed of [1, 2, 3]) {
     const simulation = simulate(seed);
     const sums = tokensPerWindow(simulation);
--- a/packages/decisions/test/reservation_scheduler_test.ts
+++ b/packages/decisions/test/reservation_scheduler_test.ts
@@ -70,7 +70,7 @@
 });
 
 t.test("other requests are held back only while a suspect waits", (t) => {
-  // A busy server never becomes idle by itself; the suspect would wait for ever.
+  // On a server that is always busy, the suspect would otherwise never start.
   const scheduler = createScheduler(4);
   const [first] = scheduler.reserve(waitingReservation("a"), 0);
   scheduler.redeem("a", first?.kind === "grant" ? first.grant : -1);
--- a/packages/decisions/test/route_order_test.ts
+++ b/packages/decisions/test/route_order_test.ts
@@ -72,7 +72,7 @@
 }
 
 t.test("in a burst, more urgent routes are served no less often than others", (t) => {
-  // By time alone, at twice the usual load the most urgent route was refused.
+  // Ordered by time alone, the most urgent route is refused at twice the load.
   for (const seed of [1, 2, 3]) {
     const results = simulate(seed);
     const [summary, notes, answer] = [...results.values()].map(servedFraction);
--- a/packages/decisions/test/server_directory_test.ts
+++ b/packages/decisions/test/server_directory_test.ts
@@ -17,7 +17,7 @@
 });
 
 t.test("a long watch without changes does not count as an outage", (t) => {
-  // Otherwise a stopped server got requests until 2.1 s after it had left.
+  // Otherwise a stopped server is sent requests for another 2.1 s.
   const directory = new ServerDirectory();
   directory.recordStoreResponse(0);
   directory.replace([server("x"), server("y")], 5, 0);
--- a/packages/decisions/test/service_order_test.ts
+++ b/packages/decisions/test/service_order_test.ts
@@ -4,7 +4,7 @@
 import { serverRecord as server } from "./server_record.ts";
 
 t.test("a larger response can be served before a smaller one", (t) => {
-  // By time alone, responses 15 times the usual size, worth 4, were never served.
+  // By time alone, responses of 15 times the usual size, worth 4, never start.
   const scheduler = new ServiceScheduler();
   scheduler.setServers([server("x", { slots: 1 })]);
   for (let count = 0; count < 200; count++) {
@@ -55,7 +55,7 @@
 });
 
 t.test("no request is refused for overload while a slot is free", (t) => {
-  // Slow responses after a restart led to 26 refusals with 22 of 132 slots free.
+  // Slow responses after a restart: 26 refusals with 22 of 132 slots free.
   const scheduler = new ServiceScheduler();
   scheduler.setServers([server("x", { slots: 4 })]);
   const cost = { promptTokens: 60_000, outputTokens: 4000 };
--- a/packages/decisions/test/service_scheduler_test.ts
+++ b/packages/decisions/test/service_scheduler_test.ts
@@ -71,7 +71,7 @@
 });
 
 t.test("a server whose address another server has taken over is sent no requests", (t) => {
-  // Quick rejections made it look fast, and used up the service's retries.
+  // Quick rejections make it look fast, and use up the service's retries.
   const scheduler = new ServiceScheduler();
   scheduler.setServers([server("x", { slots: 8 }), server("y", { slots: 8 })]);
   const first = grantRequest();
@@ -172,7 +172,7 @@
 });
 
 t.test("a long response is not sent to a server too slow to complete it", (t) => {
-  // An engine a fifth as fast as others is occupied in vain by 1,500 tokens.
+  // At a fifth of the usual speed, 1,500 tokens are not complete in time.
   const scheduler = new ServiceScheduler();
   scheduler.setServers([
     server("slow", { slots: 4 }),
--- a/packages/decisions/test/simulated_engine.ts
+++ b/packages/decisions/test/simulated_engine.ts
@@ -11,13 +11,14 @@
 const STEP_PER_SEQUENCE = 0.3;
 /** Milliseconds that a step takes longer for each prompt token. */
 const STEP_PER_PROMPT_TOKEN = 0.05;
+/** Maximum number of prompt tokens that a step prefills. */
 const PROMPT_TOKENS_PER_STEP = 512;
 
 type Sequence = {
   id: string;
   cost: Cost;
-  prompt: number;
-  output: number;
+  pendingPrefillTokens: number;
+  remainingTokens: number;
   arrived: number;
 };
 
@@ -79,7 +80,11 @@
       const { id, cost, arrived } = next;
       this.#limit.recordStart(id, cost, this.now);
       const { promptTokens, outputTokens } = cost;
-      const sequence = { id, prompt: promptTokens, output: outputTokens };
+      const sequence = {
+        id,
+        pendingPrefillTokens: promptTokens,
+        remainingTokens: outputTokens,
+      };
       this.#running.add({ ...sequence, cost, arrived });
     }
   }
@@ -101,15 +106,15 @@
 
   #step(): void {
     const batch = this.#batch();
-    let prompt = PROMPT_TOKENS_PER_STEP;
+    let prefillBudget = PROMPT_TOKENS_PER_STEP;
     const decoding = batch.filter((sequence) => {
-      const prefilled = Math.min(prompt, sequence.prompt);
-      sequence.prompt -= prefilled;
-      prompt -= prefilled;
-      return sequence.prompt === 0;
+      const prefilled = Math.min(prefillBudget, sequence.pendingPrefillTokens);
+      sequence.pendingPrefillTokens -= prefilled;
+      prefillBudget -= prefilled;
+      return sequence.pendingPrefillTokens === 0;
     });
     const work = STEP + STEP_PER_SEQUENCE * decoding.length +
-      STEP_PER_PROMPT_TOKEN * (PROMPT_TOKENS_PER_STEP - prompt);
+      STEP_PER_PROMPT_TOKEN * (PROMPT_TOKENS_PER_STEP - prefillBudget);
     this.steps += 1;
     this.now += batch.length === 0 ? 1 : work / this.speed * this.noise();
     decoding.forEach((sequence) => this.#token(sequence));
@@ -121,8 +126,8 @@
     const response = started ?? { id, firstToken: this.now - arrived };
     this.responses.set(id, response);
     this.#limit.recordTokens(id, 1, this.now);
-    sequence.output -= 1;
-    if (sequence.output <= 0) {
+    sequence.remainingTokens -= 1;
+    if (sequence.remainingTokens <= 0) {
       response.finished = this.now - arrived;
       this.#running.delete(sequence);
       this.#limit.recordEnd(id, "ok", this.now);
--- a/packages/decisions/test/waiting_queue_test.ts
+++ b/packages/decisions/test/waiting_queue_test.ts
@@ -98,7 +98,7 @@
   t.end();
 });
 
-t.test("a lapsed grant is not charged to its organisation", (t) => {
+t.test("an unused grant is not charged to its organisation", (t) => {
   const queue = new WaitingQueue({ capacity: 10 });
   queue.offer(
     waitingReservation("a1", { organisation: "a", cost: cost(7) }),
