--- a/packages/configuration/src/check/check_names.ts
+++ b/packages/configuration/src/check/check_names.ts
@@ -4,7 +4,7 @@
 import type { Findings } from "./findings.ts";
 
 /**
- * With two objects of the same name it would be ambiguous which one applies.
+ * With two objects of one kind and name it would be ambiguous which applies.
  */
 export function checkNames(
   objects: ConfigurationObjects,
--- a/packages/configuration/src/check/check_objects.ts
+++ b/packages/configuration/src/check/check_objects.ts
@@ -12,7 +12,7 @@
 
 /** Options of {@link checkObjects}. */
 export type CheckOptions = {
-  /** Milliseconds since 1970; deadlines must be later. */
+  /** Milliseconds since 1970; the deadline of a new move must be later. */
   now: number;
   /**
    * The file that the objects were read from; used for the lines of problems.
--- a/packages/configuration/src/objects.ts
+++ b/packages/configuration/src/objects.ts
@@ -59,7 +59,7 @@
   defaultTier: name,
   routes: v.optional(v.array(routeSchema), []),
   bounds: v.optional(boundsSchema, {}),
-  /** Concurrency limit of a plain backend server until its limit is measured. */
+  /** Concurrency limit of a plain backend server before one is measured. */
   initialConcurrency: v.optional(positiveInteger, 4),
   /** How long the outcome of a non-idempotent request is kept for retries. */
   idempotencyRetention: v.optional(duration, 24 * 60 * 60 * 1000),
--- a/packages/configuration/test/configuration_follower_test.ts
+++ b/packages/configuration/test/configuration_follower_test.ts
@@ -146,7 +146,7 @@
   t.equal(follower.revision, 5);
 });
 
-t.test("polls of a large fleet keep to the service's budget and to 12 s", (t) => {
+t.test("a large fleet stays within the budget of polls, and each process polls within 12 s", (t) => {
   const delays = [0, 1].map((random) =>
     pollDelay({ fleetSize: 930, failures: 0, random })
   );
--- a/packages/configuration/test/configuration_index_test.ts
+++ b/packages/configuration/test/configuration_index_test.ts
@@ -38,12 +38,12 @@
 });
 
 t.test("a request gets the default tier or an allowed one", (t) => {
-  const given = "urgent";
-  const tierOf = (asked?: string) =>
+  const defaultTier = "urgent";
+  const tierOf = (requestedTier?: string) =>
     index.resolveTier({
       organisation: cafe,
-      defaultTier: given,
-      ...(asked && { requestedTier: asked }),
+      defaultTier,
+      ...(requestedTier && { requestedTier }),
     });
   t.match(tierOf(), { value: { name: "urgent" } });
   t.match(tierOf("batch"), { value: { name: "batch" } });
--- a/packages/configuration/test/manifest_test.ts
+++ b/packages/configuration/test/manifest_test.ts
@@ -21,7 +21,7 @@
   t.end();
 });
 
-t.test("the target of 7,800 organisations fits one value", (t) => {
+t.test("a configuration of 7,800 organisations, the design target, fits one value", (t) => {
   const organisations = Array.from({ length: 7800 }, (_, index) => ({
     name: `organisation-${index}`,
     credentials: [hashOf(`token-${index}`)],
