--- a/packages/command_line/src/addresses.ts
+++ b/packages/command_line/src/addresses.ts
@@ -21,7 +21,7 @@
 /** Base URLs; absent if not configured. */
 export type Addresses = v.InferOutput<typeof addressesSchema>;
 
-/** Options override the environment, and that overrides the settings file. */
+/** Options override the environment, which overrides the settings file. */
 export function findAddresses(
   options: {
     store?: unknown;
--- a/packages/command_line/src/commands/apply.ts
+++ b/packages/command_line/src/commands/apply.ts
@@ -29,7 +29,7 @@
   publishId?: string;
   /** Name of the publisher; by default the user's name. */
   by?: string;
-  /** Longest wait for it to be in force in every process, in seconds. */
+  /** Longest wait for the file to be in force in every process, in seconds. */
   wait?: number;
 };
 
--- a/packages/command_line/src/commands/explain.ts
+++ b/packages/command_line/src/commands/explain.ts
@@ -78,7 +78,7 @@
   return `${after}  ${instance}  ${line.message}  ${details}`;
 }
 
-/** Describes lines that processes omitted from their logs around that time. */
+/** Describes lines that processes omitted from their logs near the request. */
 function omittedLines(
   lines: readonly LogLine[],
   from: number,
--- a/packages/command_line/src/commands/instances.ts
+++ b/packages/command_line/src/commands/instances.ts
@@ -8,8 +8,8 @@
 import { formatTable } from "../output/table.ts";
 
 /**
- * Prints the list without asking the processes. The list may lag: it may
- * contain processes that are gone, and lack new ones.
+ * Prints the list without contacting the processes. The list may lag: it may
+ * contain processes that have exited, and lack new ones.
  */
 export async function instances(context: Context): Promise<CommandResult> {
   const listed = await requireInstanceList(context).list();
--- a/packages/command_line/test/configuration_commands_test.ts
+++ b/packages/command_line/test/configuration_commands_test.ts
@@ -5,7 +5,7 @@
 import t from "tap";
 import { command, FILE, startPlatform } from "./example.ts";
 
-t.test("publishes a file, and its edits by the base revision in the file", async (t) => {
+t.test("publishes a file, then an edit of it based on the revision in its first line", async (t) => {
   const { command, file } = await startPlatform(t);
   t.match(await command("apply", file(FILE)), {
     exitCode: 0,
@@ -73,8 +73,12 @@
   const body = JSON.stringify({ lostWriteAnswers: 99 });
   await fetch(`${store.url}/faults`, { method: "PUT", body });
   const path = file(FILE);
-  const settled = await command("apply", path, "--publish-id", "mine");
-  t.match(settled, { exitCode: 0 }, "the rejected retry returns our publish");
+  const published = await command("apply", path, "--publish-id", "mine");
+  t.match(
+    published,
+    { exitCode: 0 },
+    "a rejected retry finds the publish in the stored value",
+  );
   await fetch(`${store.url}/faults`, { method: "PUT", body: "{}" });
   t.match(await command("apply", path, "--base", "0", "--publish-id", "mine"), {
     exitCode: 0,
