--- a/packages/emulator/src/commands/load_command.ts
+++ b/packages/emulator/src/commands/load_command.ts
@@ -54,7 +54,7 @@
 }
 
 async function load(options: unknown): Promise<void> {
-  const { target, rate, seconds, mix, seed, json, ...shape } = v.parse(
+  const { target, rate, seconds, mix, seed, json, ...requestOptions } = v.parse(
     loadCommandSchema,
     options,
   );
@@ -64,7 +64,11 @@
     seconds,
     seed,
     mix: parseMix(mix),
-    requestOptions: { ...shape, deadline: shape.deadline, token: shape.token },
+    requestOptions: {
+      ...requestOptions,
+      deadline: requestOptions.deadline,
+      token: requestOptions.token,
+    },
   });
   console.log(
     json ? JSON.stringify(summaries) : formatLoadSummaries(summaries),
--- a/packages/emulator/src/engine/load_report.ts
+++ b/packages/emulator/src/engine/load_report.ts
@@ -5,7 +5,7 @@
   running: number;
   waiting: number;
   cachedTokens: number;
-  /** Milliseconds since the epoch. */
+  /** Milliseconds since 1970. */
   measuredAt: number;
 };
 
--- a/packages/emulator/src/history/history.ts
+++ b/packages/emulator/src/history/history.ts
@@ -17,7 +17,7 @@
     this.#server = server;
   }
 
-  /** Adds the record of a request that starts; updated when the request ends. */
+  /** Adds the record of a request that starts; its outcome is set later. */
   recordStart(
     request: IncomingMessage,
     details: RequestDetails,
--- a/packages/emulator/src/history/history_record.ts
+++ b/packages/emulator/src/history/history_record.ts
@@ -2,12 +2,13 @@
 import * as v from "valibot";
 
 /**
- * One request as seen by the server. Times are milliseconds since the epoch by
- * the server's clock. `cancelled` means that the peer closed the connection
+ * One request as seen by the server. Times are milliseconds since 1970 by the
+ * server's clock. `cancelled` means that the peer closed the connection
  * before the response was complete.
  */
 export const historyRecordSchema = v.object({
   server: v.string(),
+  /** Position among the server's requests, from 0. */
   number: v.number(),
   method: v.string(),
   path: v.string(),
--- a/packages/emulator/src/load/run_load.ts
+++ b/packages/emulator/src/load/run_load.ts
@@ -22,7 +22,7 @@
  */
 const MAX_RATE = 2000;
 const MAX_SECONDS = 600;
-/** Requests without a response; further ones are counted as `unsent`. */
+/** Requests awaiting a response; further ones are counted as `unsent`. */
 const MAX_OUTSTANDING = 20_000;
 
 /** The requests to send. */
--- a/packages/emulator/src/plain/start_plain_service.ts
+++ b/packages/emulator/src/plain/start_plain_service.ts
@@ -7,7 +7,10 @@
 import { plainSettingsSchema } from "./plain_settings.ts";
 import type { PlainSettingsInput } from "./plain_settings.ts";
 
-/** Starts a service with `POST /bookings`, `GET /bookings/:id`, `GET /health`. */
+/**
+ * Starts a service that serves `POST /bookings`, `GET /bookings/:id` and
+ * `GET /health`.
+ */
 export function startPlainService(
   options: ListenOptions & {
     settings?: PlainSettingsInput;
