--- a/packages/testing/src/checks/dispatched_once.ts
+++ b/packages/testing/src/checks/dispatched_once.ts
@@ -3,9 +3,9 @@
 import type { Violation } from "./violation.ts";
 
 /**
- * Finds markers that backend servers have seen more than once. A retry that may
- * run again must have a marker of its own; a retry with an idempotency key
- * keeps the marker.
+ * Finds markers whose requests backend servers have started more than once. A
+ * retry that may run again must have a marker of its own; a retry with an
+ * idempotency key keeps the marker.
  */
 export function checkDispatchedOnce(runs: RunRecord[]): Violation[] {
   const violations: Violation[] = [];
--- a/packages/testing/src/checks/not_run_refusals.ts
+++ b/packages/testing/src/checks/not_run_refusals.ts
@@ -1,4 +1,4 @@
-/** Checks that a refusal that says "not run" is right. @module */
+/** Checks that requests refused as not run have not run. @module */
 import type { CallRecord } from "../history/call_record.ts";
 import type { RunRecord } from "../history/run_record.ts";
 import type { Violation } from "./violation.ts";
--- a/packages/testing/src/checks/shed_order.ts
+++ b/packages/testing/src/checks/shed_order.ts
@@ -13,8 +13,8 @@
 ]);
 
 /**
- * Finds calls that were shed although a call of the same service with a lower
- * tier was waiting during the whole call. `slack` is a tolerance in
+ * Finds calls that were shed although another call of the same service, in a
+ * lower tier, was waiting all that time. `slack` is a tolerance in
  * milliseconds for messages in transit. Callers and servers must use the same
  * clock.
  */
--- a/packages/testing/src/demo/counters.ts
+++ b/packages/testing/src/demo/counters.ts
@@ -8,14 +8,14 @@
 /** Prints each counter with the prefix `sycamorepulley_` that is not 0. */
 export async function showCounters(fleet: Fleet): Promise<void> {
   for (const entry of fleet.entries) {
-    await showDaemon(entry);
+    await showDaemonCounters(entry);
   }
   for (const { sidecar } of fleet.backends) {
-    await showDaemon(sidecar);
+    await showDaemonCounters(sidecar);
   }
 }
 
-async function showDaemon(daemon: DaemonProcess): Promise<void> {
+async function showDaemonCounters(daemon: DaemonProcess): Promise<void> {
   printStep(
     `Counters of ${daemon.settings.instance} (${daemon.statusUrl}/metrics):`,
   );
--- a/packages/testing/src/demo/requests.ts
+++ b/packages/testing/src/demo/requests.ts
@@ -96,12 +96,12 @@
   const answered = outcomes.filter(({ type }) => type === "answered").length;
   console.log(`  -> ${answered} of ${BURST_SIZE} answered`);
   const runs = await fleet.runs();
-  for (const { server, summary } of countBurstByAssistant(fleet, runs)) {
+  for (const { server, summary } of countBurstByServer(fleet, runs)) {
     console.log(`     ${server}: speed ${summary}`);
   }
 }
 
-function countBurstByAssistant(
+function countBurstByServer(
   fleet: Fleet,
   runs: { server: string; marker?: string | undefined }[],
 ): { server: string; summary: string }[] {
--- a/packages/testing/src/fleet/fleet.ts
+++ b/packages/testing/src/fleet/fleet.ts
@@ -29,10 +29,12 @@
   sidecar: DaemonProcess;
 };
 
-/** Options of a fleet. */
+/** Options of {@link Fleet.start}. */
 export type FleetOptions = {
+  /** Number of entries; by default 1. */
   entries?: number;
   backends: BackendOptions[];
+  /** Configuration to publish; by default {@link exampleObjects}. */
   objects?: ConfigurationObjects;
 };
 
--- a/packages/testing/src/history/call_record.ts
+++ b/packages/testing/src/history/call_record.ts
@@ -26,9 +26,12 @@
 /** Outcome of a call. */
 export type CallOutcome = AnsweredOutcome | RefusedOutcome | BrokenOutcome;
 
-/** One call. Times are milliseconds since the epoch by the caller's clock. */
+/** One call. Times are milliseconds since 1970 by the caller's clock. */
 export type CallRecord = {
-  /** Unique to a request; a retry by the caller has the same marker. */
+  /**
+   * Unique to a request. A retry has the same marker, unless it may run again
+   * and `checkDispatchedOnce` counts the runs.
+   */
   marker: string;
   service: string;
   /** Rank of the tier; 0 is the most urgent. */
--- a/packages/testing/src/history/run_record.ts
+++ b/packages/testing/src/history/run_record.ts
@@ -4,7 +4,7 @@
 export type RunRecord = {
   server: string;
   marker?: string | undefined;
-  /** Milliseconds since the epoch by the server's clock. */
+  /** Milliseconds since 1970 by the server's clock. */
   startedAt: number;
   outcome: "running" | "finished" | "failed" | "cancelled";
 };
--- a/packages/testing/src/measure/measure_latency.ts
+++ b/packages/testing/src/measure/measure_latency.ts
@@ -94,6 +94,7 @@
   };
 }
 
+/** Duration of one load, and the seed of its arrivals. */
 type Period = { seconds: number; seed: number };
 
 function sendThrough(
--- a/packages/testing/src/measure/measure_waiting.ts
+++ b/packages/testing/src/measure/measure_waiting.ts
@@ -16,7 +16,7 @@
 const IDLE_SECONDS = 10;
 /** Milliseconds until memory is read. */
 const SETTLE_TIME = 3000;
-/** So slow that all requests still wait when memory is read. */
+/** Slows each step so much that no request ends before memory is read. */
 const SLOW_FACTOR = 1_000_000;
 const PROMPT = "x".repeat(800);
 
--- a/packages/testing/src/measure/process_usage.ts
+++ b/packages/testing/src/measure/process_usage.ts
@@ -7,7 +7,7 @@
 /** Clock ticks per second in `/proc/<id>/stat`; always 100 on Linux. */
 const TICKS_PER_SECOND = 100;
 const MILLISECONDS_PER_TICK = 1000 / TICKS_PER_SECOND;
-/** Index of a field after the command's closing bracket, counted from 0. */
+/** Indexes of fields after the command's closing bracket, counted from 0. */
 const USER_TIME_FIELD = 11;
 const SYSTEM_TIME_FIELD = 12;
 
--- a/packages/testing/src/process/temporary_directory.ts
+++ b/packages/testing/src/process/temporary_directory.ts
@@ -6,7 +6,7 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 
-/** A temporary directory; the test removes it when it ends. */
+/** A temporary directory; its creator must remove it. */
 export class TemporaryDirectory {
   readonly path: string;
 
--- a/packages/testing/src/process/wait_for.ts
+++ b/packages/testing/src/process/wait_for.ts
@@ -3,7 +3,7 @@
 
 /** Milliseconds between two probes. */
 const POLL_INTERVAL = 10;
-/** Milliseconds. */
+/** Milliseconds after which the condition counts as failed. */
 const DEFAULT_TIMEOUT = 20_000;
 
 /**
--- a/packages/testing/test/bad_frame_test.ts
+++ b/packages/testing/test/bad_frame_test.ts
@@ -1,7 +1,4 @@
-// A port scanner, a client of another protocol or a peer of another release
-// sends invalid frames to the protocol port. An exception or a wait for
-// gigabytes that never arrive would end all requests on the daemon's valid
-// links.
+// Guards against a port scan or a frame of 4 GB ending requests on valid links.
 import { Buffer } from "node:buffer";
 import { once } from "node:events";
 import { connect } from "node:net";
--- a/packages/testing/test/checks_test.ts
+++ b/packages/testing/test/checks_test.ts
@@ -60,7 +60,7 @@
   t.end();
 });
 
-t.test("a refusal as not run of a request that ran is found", (t) => {
+t.test("a request that ran although it was refused as not run is found", (t) => {
   const refusedAsNotRun = call("a", refused("queue_full"));
   const refusedAsUnknown = call("b", refused("answer_cut", "unknown"));
   t.same(
--- a/packages/testing/test/crashing_request_test.ts
+++ b/packages/testing/test/crashing_request_test.ts
@@ -4,8 +4,8 @@
 const SERVERS = 4;
 const ATTEMPTS = 8;
 
+// Guards against retries through both entries crashing every server in turn.
 t.test("a request that crashes servers is quarantined after two at most", async (t) => {
-  // Retries through both entries would otherwise crash every server in turn.
   const fleet = await Fleet.start({
     entries: 2,
     backends: Array.from({ length: SERVERS }, () => ({
--- a/packages/testing/test/frozen_sidecar_test.ts
+++ b/packages/testing/test/frozen_sidecar_test.ts
@@ -11,11 +11,9 @@
 /** Concurrent requests of one server; no more are handed over to it. */
 const MAX_SEQUENCES = 4;
 
-t.test("requests that wait at a frozen sidecar move to another one", async (t) => {
-  // A sidecar stopped by a signal keeps its connections open but sends nothing.
-  // Waiting requests must move long before their deadline and not run again
-  // when it resumes; a handed-over one may have run and must not be reported as
-  // not run.
+// A frozen sidecar keeps its links open. Guards against requests that wait
+// until their deadline, run twice, or have run but are refused as not run.
+t.test("requests that wait at a frozen sidecar are placed at another one", async (t) => {
   const fleet = await Fleet.start({
     entries: 1,
     backends: [5, 5].map((stepTime) => ({
@@ -46,7 +44,7 @@
   const runs = await fleet.runs();
   const unanswered = caller.calls
     .filter(({ outcome }) => outcome.type !== "answered");
-  // Only requests that were handed over may be refused; waiting ones are moved.
+  // Only handed-over requests may be refused; waiting ones are placed anew.
   const handedOver = { type: "refused", reason: "link_lost", ran: "unknown" };
   for (const { outcome } of unanswered) t.match(outcome, handedOver);
   t.ok(unanswered.length <= MAX_SEQUENCES, `${unanswered.length} unanswered`);
--- a/packages/testing/test/graceful_shutdown_test.ts
+++ b/packages/testing/test/graceful_shutdown_test.ts
@@ -1,6 +1,4 @@
-// An operator replaces an instance while it serves streamed responses. If the
-// process exits at the signal, the streams are cut; if it accepts further
-// requests, it never exits.
+// Guards against a stopped process cutting its streams or never exiting.
 import t from "tap";
 import { checkCompleteResponses, Fleet, waitFor } from "../src/mod.ts";
 import type { FleetOptions } from "../src/mod.ts";
--- a/packages/testing/test/idempotency_test.ts
+++ b/packages/testing/test/idempotency_test.ts
@@ -1,6 +1,4 @@
-// A caller that did not get the response to a non-idempotent request sends it
-// again, perhaps through another entry or while the first one is still running.
-// If both run, the caller has two bookings.
+// Guards against two bookings when a caller retries after a lost response.
 import t from "tap";
 import { Fleet, waitFor } from "../src/mod.ts";
 import type { CallOutcome } from "../src/mod.ts";
--- a/packages/testing/test/move_test.ts
+++ b/packages/testing/test/move_test.ts
@@ -6,8 +6,8 @@
 /** Milliseconds. */
 const ENDS_WITHIN = 100_000;
 
+// Guards against a failing new version keeping its share of the calls.
 t.test("a move to a failing version is rolled back after few calls", async (t) => {
-  // A failing new version would otherwise keep getting a share of the calls.
   const moveFleet = await MoveFleet.start(DURATION);
   t.teardown(() => moveFleet.stop());
   await moveFleet.newBackend.server.setFaults({
--- a/packages/testing/test/outage_start_test.ts
+++ b/packages/testing/test/outage_start_test.ts
@@ -1,9 +1,8 @@
 import t from "tap";
 import { Fleet, waitFor } from "../src/mod.ts";
 
+// Guards against an entry that waits for the service or refuses every call.
 t.test("an entry that starts during an outage gets its configuration from peers", async (t) => {
-  // An entry that waited for the key-value service would be missing for hours;
-  // one that started without configuration would refuse every call.
   const fleet = await Fleet.start({
     entries: 1,
     backends: [1, 2].map(() => ({
@@ -27,9 +26,8 @@
   t.match(outcome, { type: "answered" });
 });
 
+// Guards against a second run: the outage hides whether the call ran before.
 t.test("a non-idempotent call refused during an outage has not run", async (t) => {
-  // During the outage nobody can tell whether the call was sent before. After
-  // it, the same key runs once.
   const fleet = await Fleet.start({
     entries: 1,
     backends: [{
--- a/packages/testing/test/overload_test.ts
+++ b/packages/testing/test/overload_test.ts
@@ -1,6 +1,4 @@
-// Requests of the lowest tier fill every queue before urgent ones arrive. If
-// the queues refused only new requests, the urgent ones would be refused while
-// the earlier ones of the lowest tier are served.
+// Guards against urgent requests refused because lower tiers fill every queue.
 import { setTimeout } from "node:timers/promises";
 import t from "tap";
 import {
--- a/packages/testing/test/server_crash_test.ts
+++ b/packages/testing/test/server_crash_test.ts
@@ -1,6 +1,4 @@
-// An engine crashes during a response. Its caller must not take the part that
-// it got for a complete response, nor be told that the request has not run.
-// Requests of other callers must be served by the remaining engines.
+// Guards against a crash that cuts a response unseen or fails other requests.
 import t from "tap";
 import type { Test } from "tap";
 import {
@@ -62,7 +60,7 @@
   t.same(violations, []);
 });
 
-t.test("a cut response that is not streamed becomes a refusal that does not say not run", async (t) => {
+t.test('a cut response that is not streamed becomes a refusal that does not say "not run"', async (t) => {
   const { outcome, after, violations } = await crashDuringResponse(t, false);
   t.match(outcome, { type: "refused", reason: "answer_cut" });
   t.not(outcome.type === "refused" && outcome.ran, "no");
--- a/packages/testing/test/sidecar_death_test.ts
+++ b/packages/testing/test/sidecar_death_test.ts
@@ -1,7 +1,5 @@
-// A sidecar is killed while requests wait in its queue and others run on its
-// server. The entry still has the bodies of the waiting requests and places
-// them at the other sidecar. The running ones get an error that must not say
-// that they have not run.
+// Guards against the loss of requests whose bodies the entry still has, and
+// against refusing those that ran at the killed sidecar as not run.
 import t from "tap";
 import {
   checkCompleteResponses,
@@ -16,7 +14,7 @@
 /** Milliseconds; so slow that no request ends during the test. */
 const BLOCKING_STEP_TIME = 100_000;
 
-t.test("requests that wait at a killed sidecar move to another one", async (t) => {
+t.test("requests that wait at a killed sidecar are placed at another one", async (t) => {
   const fleet = await Fleet.start({
     entries: 1,
     backends: [BLOCKING_STEP_TIME, 20].map((stepTime) => ({
