--- a/packages/command_line/src/addresses.ts
+++ b/packages/command_line/src/addresses.ts
@@ -54,12 +54,12 @@
   return validateAddresses(file, value);
 }
 
-function validateAddresses(place: string, value: unknown): Addresses {
+function validateAddresses(source: string, value: unknown): Addresses {
   const parsed = v.safeParse(addressesSchema, value);
   if (!parsed.success) {
     const issue = parsed.issues[0];
     const field = issue.path?.map((item) => String(item.key)).join(".") ?? "";
-    throw new UsageError(`${place}: ${field}: ${issue.message}`);
+    throw new UsageError(`${source}: ${field}: ${issue.message}`);
   }
   return parsed.output;
 }
--- a/packages/command_line/test/configuration_commands_test.ts
+++ b/packages/command_line/test/configuration_commands_test.ts
@@ -101,8 +101,11 @@
     ["status", "--store", "nowhere"],
     ["delete"],
   ];
-  for (const words of wrong) {
-    t.match(await command(words, {}), { exitCode: 2, errors: /See --help/ });
+  for (const commandArguments of wrong) {
+    t.match(await command(commandArguments, {}), {
+      exitCode: 2,
+      errors: /See --help/,
+    });
   }
 });
 
--- a/packages/command_line/test/example.ts
+++ b/packages/command_line/test/example.ts
@@ -34,7 +34,8 @@
   return {
     store,
     instances,
-    command: (...words: string[]) => command(words, environment),
+    command: (...commandArguments: string[]) =>
+      command(commandArguments, environment),
     file: (text: string) => {
       const path = join(directory, "fleet.jsonc");
       writeFileSync(path, text);
@@ -45,13 +46,13 @@
 
 /** Runs the command line in this process. */
 export async function command(
-  words: string[],
+  commandArguments: string[],
   environment: Record<string, string>,
 ) {
   const output: string[] = [];
   const errors: string[] = [];
   const exitCode = await run({
-    arguments: words,
+    arguments: commandArguments,
     environment,
     print: (line) => output.push(line),
     warn: (line) => errors.push(line),
--- a/packages/command_line/test/fleet_commands_test.ts
+++ b/packages/command_line/test/fleet_commands_test.ts
@@ -86,8 +86,12 @@
 t.test("status reports an unreachable process and an outage", async (t) => {
   const { command, instances, store } = await startPlatform(t);
   await startProcess(t, instances.url, ENTRY);
-  const gone = { instance: "gone", role: "entry" as const, statusPort: 1 };
-  await registerProcess(t, instances.url, gone);
+  const unreachable = {
+    instance: "gone",
+    role: "entry" as const,
+    statusPort: 1,
+  };
+  await registerProcess(t, instances.url, unreachable);
   const body = JSON.stringify({ outage: "refuse" });
   await fetch(`${store.url}/faults`, { method: "PUT", body });
   const status = await command("status");
--- a/packages/configuration/src/check/findings.ts
+++ b/packages/configuration/src/check/findings.ts
@@ -72,8 +72,8 @@
         first.set(key, holder ?? "");
         continue;
       }
-      const place = earlier === "" ? "" : ` by ${earlier}`;
-      const detail = `${options.what} is already used${place}`;
+      const usedBy = earlier === "" ? "" : ` by ${earlier}`;
+      const detail = `${options.what} is already used${usedBy}`;
       this.add({ path, detail, mend: options.mend });
     }
   }
--- a/packages/configuration/src/configuration_index.ts
+++ b/packages/configuration/src/configuration_index.ts
@@ -25,7 +25,7 @@
   tier: string;
 };
 
-/** Why a request can't have the tier that it asks for. */
+/** Why a request can't have the tier that it requests. */
 export type TierRefusalReason = "unknown_tier" | "tier_not_allowed";
 
 /** Lookup tables over one snapshot's objects, built once for each snapshot. */
--- a/packages/configuration/test/configuration_follower_test.ts
+++ b/packages/configuration/test/configuration_follower_test.ts
@@ -92,9 +92,9 @@
   await follower.poll();
   t.same(adopted, [5, 9]);
   t.equal(follower.counts.restored, 1);
-  const newcomer = follow();
-  await newcomer.follower.poll();
-  t.same(newcomer.adopted, [9]);
+  const newProcess = follow();
+  await newProcess.follower.poll();
+  t.same(newProcess.adopted, [9]);
 });
 
 // Guards against processes rejecting a publish based on a restored older state.
