--- a/packages/command_line/src/addresses.ts
+++ b/packages/command_line/src/addresses.ts
@@ -21,7 +21,7 @@
 /** Base URLs; absent if not configured. */
 export type Addresses = v.InferOutput<typeof addressesSchema>;
 
-/** Options override the environment, and that overrides the settings file. */
+/** Options override the environment, which overrides the settings file. */
 export function findAddresses(
   options: {
     store?: unknown;
@@ -54,12 +54,12 @@
   return validateAddresses(file, value);
 }
 
-function validateAddresses(place: string, value: unknown): Addresses {
+function validateAddresses(source: string, value: unknown): Addresses {
   const parsed = v.safeParse(addressesSchema, value);
   if (!parsed.success) {
     const issue = parsed.issues[0];
     const field = issue.path?.map((item) => String(item.key)).join(".") ?? "";
-    throw new UsageError(`${place}: ${field}: ${issue.message}`);
+    throw new UsageError(`${source}: ${field}: ${issue.message}`);
   }
   return parsed.output;
 }
--- a/packages/configuration/test/configuration_follower_test.ts
+++ b/packages/configuration/test/configuration_follower_test.ts
@@ -92,9 +92,9 @@
   await follower.poll();
   t.same(adopted, [5, 9]);
   t.equal(follower.counts.restored, 1);
-  const newcomer = follow();
-  await newcomer.follower.poll();
-  t.same(newcomer.adopted, [9]);
+  const newProcess = follow();
+  await newProcess.follower.poll();
+  t.same(newProcess.adopted, [9]);
 });
 
 // Guards against processes rejecting a publish based on a restored older state.
@@ -146,7 +146,7 @@
   t.equal(follower.revision, 5);
 });
 
-t.test("polls of a large fleet keep to the service's budget and to 12 s", (t) => {
+t.test("a large fleet stays within the budget of polls, and each process polls within 12 s", (t) => {
   const delays = [0, 1].map((random) =>
     pollDelay({ fleetSize: 930, failures: 0, random })
   );
