--- a/packages/gateway/src/backend/backend_connection.ts
+++ b/packages/gateway/src/backend/backend_connection.ts
@@ -1,10 +1,10 @@
 /**
  * A connection to a backend server, for one request at a time.
  *
- * The connection is opened before anything is sent on it: if connecting fails, the
- * request has certainly not run; after a later failure it may have run. Unsolicited
- * bytes from the server close the connection, as they would be taken for the next
- * response.
+ * The connection is opened before anything is sent on it: if connecting fails,
+ * the request has certainly not run; after a later failure it may have run.
+ * Unsolicited bytes from the server close the connection, as they would be
+ * taken for the next response.
  * @module
  */
 import { connect } from "node:net";
@@ -43,8 +43,8 @@
 /** Idle timeout of a server that does not state one, in milliseconds. */
 const DEFAULT_IDLE_TIMEOUT = 1000;
 /**
- * Milliseconds subtracted from a stated idle timeout, as a request may cross the
- * closing of its connection on the way.
+ * Milliseconds subtracted from a stated idle timeout, as a request may still be
+ * on its way when the server closes the connection.
  */
 const IDLE_MARGIN = 1000;
 
@@ -61,8 +61,9 @@
     this.#socket = socket;
     this.#idleSince = now;
     socket.once("close", () => this.#closed = true);
-    // undici takes a reset for the end of a response without a length, which would
-    // then look complete although it is truncated. This listener is called first.
+    // undici takes a reset for the end of a response without a length, which
+    // would then look complete although it is truncated. This listener is
+    // called first.
     socket.on("error", () => {
       this.#wasReset = true;
       socket.destroy();
@@ -75,8 +76,8 @@
       keepAliveTimeout: 60_000,
       maxHeaderSize: 64 * 1024,
       connect: (_options, callback) => {
-        // The client reconnects on its own, but a request must not be sent on a new
-        // connection.
+        // The client reconnects on its own, but a request must not be sent on a
+        // new connection.
         if (socketUsed || this.#closed) {
           callback(new Error("the connection is closed"), null);
           return;
@@ -112,8 +113,8 @@
   }
 
   /**
-   * False if the server may be closing the connection. `strict`: only a quarter of
-   * the idle timeout is used, for requests that must not be repeated.
+   * False if the server may be closing the connection. `strict`: only a quarter
+   * of the idle timeout is used, for requests that must not be repeated.
    */
   isUsable(now: number, strict: boolean): boolean {
     if (this.#closed || this.#socket.destroyed) return false;
@@ -121,7 +122,7 @@
     return idle < (strict ? this.#idleTimeout / 4 : this.#idleTimeout);
   }
 
-  /** Sends a request. The returned function aborts it by closing the connection. */
+  /** Sends a request; the returned function aborts it and its connection. */
   send(request: BackendRequest, listener: ResponseListener): () => void {
     const handler = new ResponseHandler(listener, {
       onHeaders: (headers) => this.#readIdleTimeout(headers),
--- a/packages/gateway/src/backend/connection_pool.ts
+++ b/packages/gateway/src/backend/connection_pool.ts
@@ -6,9 +6,9 @@
 import type { ConnectFailure } from "./backend_connection.ts";
 
 /**
- * Milliseconds until an attempt to connect times out. Data centres are 1.4 ms apart,
- * and callers wait 0.3 s for a first token. The kernel resends a lost first packet
- * only after a second, so waiting for it would not help.
+ * Milliseconds until an attempt to connect times out. Data centres are 1.4 ms
+ * apart, and callers wait 0.3 s for a first token. The kernel resends a lost
+ * first packet only after a second, so waiting for it would not help.
  */
 const CONNECT_TIMEOUT = 300;
 
@@ -22,9 +22,9 @@
   }
 
   /**
-   * Takes an idle connection, or opens a new one. `strict`: the request must not be
-   * repeated, so a connection that the server could be closing at this moment is not
-   * used.
+   * Takes an idle connection, or opens a new one. `strict`: the request must
+   * not be repeated, so a connection that the server could be closing at this
+   * moment is not used.
    */
   async acquire(
     server: ServerRecord,
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Closes connections that have been idle for too long, and those to servers that
-   * are not in `servers`.
+   * Closes connections that have been idle for too long, and those to servers
+   * that are not in `servers`.
    */
   closeStale(servers: readonly ServerRecord[]): void {
     const now = this.#clock();
--- a/packages/gateway/src/entry_status.ts
+++ b/packages/gateway/src/entry_status.ts
@@ -16,7 +16,6 @@
 /** Sources of the status. */
 export type EntryStatusOptions = {
   settings: () => GatewaySettings;
-  /** True once this entry is draining. */
   isDraining: () => boolean;
   state: FleetState;
   peers: Peers;
@@ -58,9 +57,7 @@
     return totalShares({ reachable, shares });
   }
 
-  /**
-   * Updates the granting entry and the fractions that this entry grants from.
-   */
+  /** Updates the granting entry, and the fractions that are granted here. */
   updateGroup(): void {
     const { state, peers, grantClient, clock } = this.#options;
     const reported = peers.statuses().map(({ shares }) => shares);
--- a/packages/gateway/src/front/forwarded_headers.ts
+++ b/packages/gateway/src/front/forwarded_headers.ts
@@ -1,16 +1,17 @@
 /** Selects the headers that are forwarded to a server or a caller. @module */
 import { HOP_BY_HOP_HEADERS } from "@sycamorepulley/protocol";
 
-/** Connection headers, and the content length, which is set anew when forwarding. */
+/** Hop-by-hop headers, and the length of the body, which is set anew. */
 const NEVER_FORWARDED: ReadonlySet<string> = new Set([
   ...HOP_BY_HOP_HEADERS,
   "content-length",
 ]);
 
 /**
- * Alternating names and values as received, without connection headers, headers that
- * the `Connection` header lists, and those in `droppedHeaders` (lower case). A caller
- * can't remove headers in `protectedHeaders` by listing them in `Connection`.
+ * Alternating names and values as received, without hop-by-hop headers, headers
+ * that the `Connection` header lists, and those in `droppedHeaders` (lower
+ * case). A caller can't remove headers in `protectedHeaders` by listing them in
+ * `Connection`.
  */
 export function forwardedHeaders(
   rawHeaders: readonly string[],
--- a/packages/gateway/src/front/header_names.ts
+++ b/packages/gateway/src/front/header_names.ts
@@ -15,9 +15,9 @@
   notRun: string;
   /** Requests per second that a server accepts from all entries together. */
   serverLimit: string;
-  /** Set by a server on its own responses, which tells them from those of others. */
+  /** Set by a server on its own responses; those of others lack it. */
   seal: string;
-  /** Prompt tokens and largest number of output tokens, separated by a comma. */
+  /** Prompt tokens and maximum output tokens, separated by a comma. */
   tokenUsage: string;
   /** A caller's estimate of the output tokens. */
   expectedOutputTokens: string;
--- a/packages/gateway/src/front/http_frontend.ts
+++ b/packages/gateway/src/front/http_frontend.ts
@@ -1,4 +1,4 @@
-/** The HTTP server for callers: connections, limits, graceful shutdown. @module */
+/** HTTP server for callers: connections, limits, graceful shutdown. @module */
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import type { Socket } from "node:net";
@@ -7,13 +7,14 @@
 import type { CallerLimits } from "../state/gateway_configuration.ts";
 
 /**
- * Milliseconds for which an idle connection is kept beyond the announced idle timeout,
- * so that a request sent at the last moment doesn't arrive as the connection closes.
+ * Milliseconds for which an idle connection is kept beyond the announced idle
+ * timeout, so that a request sent at the last moment doesn't arrive as the
+ * connection closes.
  */
 const IDLE_MARGIN = 3000;
-/** Milliseconds between checks for connections that are slow to send a request. */
+/** Milliseconds between checks for connections that send a request slowly. */
 const CONNECTION_CHECK_INTERVAL = 500;
-/** Largest head, in bytes, that is read at all; the configured limit applies later. */
+/** Maximum bytes of a head; the configured limit is applied later. */
 const MAX_HEAD_BYTES = 64 * 1024;
 /** Milliseconds to receive a whole request: the longest deadline of callers. */
 const REQUEST_TIMEOUT = 15_000;
@@ -43,14 +44,15 @@
         response.sendDate = false;
         if (this.#draining) response.setHeader("connection", "close");
         if (this.#endedConnections.has(request.socket)) {
-          // The request was sent before the end of its connection arrived at the
-          // caller. If handled, it would run, but its response could not be sent.
+          // The request was sent before the end of its connection arrived at
+          // the caller. If handled, it would run, but its response could not be
+          // sent.
           request.socket.destroy();
           return;
         }
-        // A response that began before draining has no `Connection: close` header:
-        // its connection would be kept alive, and a request on it accepted when no
-        // time remains for it.
+        // A response that began before draining has no `Connection: close`
+        // header: its connection would be kept alive, and a request on it
+        // accepted when no time remains for it.
         response.once("finish", () => {
           if (this.#draining) this.#endConnection(request.socket);
         });
@@ -69,7 +71,7 @@
     return listen(this.#server, address);
   }
 
-  /** Responses now close their connections; new connections are still accepted. */
+  /** Responses now close their connections; new ones are still accepted. */
   startDraining(): void {
     this.#draining = true;
   }
--- a/packages/gateway/src/front/parsed_request.ts
+++ b/packages/gateway/src/front/parsed_request.ts
@@ -12,7 +12,7 @@
   target: string;
   host: string;
   credential: string | undefined;
-  /** Prompt tokens and largest number of output tokens, as the caller states. */
+  /** Prompt tokens and maximum output tokens, as the caller states. */
   statedTokens: Cost | undefined;
   /** The caller's estimate of the output tokens. */
   expectedOutputTokens: number | undefined;
--- a/packages/gateway/src/front/status_server.ts
+++ b/packages/gateway/src/front/status_server.ts
@@ -26,8 +26,8 @@
   }
 
   /**
-   * Listens on both addresses, or once if they are the same. Resolves to the port of
-   * the readiness address.
+   * Listens on both addresses, or once if they are the same. Resolves to the
+   * port of the readiness address.
    */
   async listen(readiness: Address, metrics: Address): Promise<number> {
     const port = await this.#start(readiness);
@@ -56,8 +56,8 @@
         response.setHeader("content-type", metrics.registry.contentType);
         response.end(await metrics.registry.metrics());
       });
-    // polka only handles requests of servers that it creates itself, so its handler
-    // is called directly.
+    // polka only handles requests of servers that it creates itself, so its
+    // handler is called directly.
     const server = createServer((request, response) =>
       application.handler(request as Request, response)
     );
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -41,7 +41,7 @@
 import { StoreContact } from "./state/store_contact.ts";
 import { StartGate } from "./state/start_gate.ts";
 
-/** Milliseconds between scheduling rounds, for what changes with time alone. */
+/** Milliseconds between scheduling rounds: quotas refill, requests expire. */
 const SCHEDULING_INTERVAL = 10;
 /** Milliseconds between log lines on the load of services. */
 const LOAD_LOG_INTERVAL = 1000;
@@ -67,10 +67,10 @@
   readonly #codec: RecordCodec;
   readonly #lifecycle = new ProcessLifecycle();
   /**
-   * Milliseconds of the monotonic clock. It stops while the machine is
+   * Milliseconds of the monotonic clock, which stops while the machine is
    * suspended. The time since boot does not stop, but in a container it may be
-   * that of another machine, which makes deadlines and quotas wrong by a tenth
-   * and more.
+   * that of another machine. Deadlines and quotas would then be wrong by a
+   * tenth or more.
    */
   readonly #clock = () => performance.now();
   readonly #log: EventLog;
@@ -198,9 +198,7 @@
     });
   }
 
-  /**
-   * Starts, and returns the ports; the system chooses those that are set to 0.
-   */
+  /** Starts, and returns the ports; the system chooses those set to 0. */
   async start(): Promise<GatewayPorts> {
     const startedAt = performance.now();
     const { settings } = this;
@@ -348,9 +346,7 @@
     return this.#lifecycle.state === "ready" && this.#isStateLoaded();
   }
 
-  /**
-   * True once configuration, servers and entries are known, from any source.
-   */
+  /** True once configuration, servers and entries are known from any source. */
   #isStateLoaded(): boolean {
     const { activeConfiguration, serversKnown, membersKnown } =
       this.#fleetState;
@@ -384,8 +380,8 @@
   #tick(): void {
     this.#peers.tick(this.#fleetState.members, this.#fleetState.unregistered());
     this.#stateSharing.tick();
-    // Records that expired in an outage are dropped when their time is up,
-    // without a change in the store.
+    // Servers retained after an outage are dropped after a while, without a
+    // change in the store.
     this.#refreshServers();
     this.#entryStatus.updateGroup();
   }
--- a/packages/gateway/src/graceful_stop.ts
+++ b/packages/gateway/src/graceful_stop.ts
@@ -24,17 +24,11 @@
  * one may stop listening: the load balancer polls its readiness once a second.
  */
 const REPLACED_AFTER = 1500;
-/**
- * Milliseconds without a request after which callers no longer use this entry.
- */
+/** Milliseconds without a request after which this entry counts as unused. */
 const UNUSED_AFTER = 500;
-/**
- * Milliseconds before its end at which a process stops listening in any case.
- */
+/** Milliseconds before its end at which the process stops listening anyway. */
 const STOP_LISTENING_MARGIN = 200;
-/**
- * Milliseconds before the process would be killed at which it ends by itself.
- */
+/** Milliseconds before the process would be killed at which it ends itself. */
 const GRACE_MARGIN = 400;
 /** Milliseconds between checks of the running requests. */
 const CHECK_INTERVAL = 20;
--- a/packages/gateway/src/listen.ts
+++ b/packages/gateway/src/listen.ts
@@ -2,9 +2,7 @@
 import type { AddressInfo, Server } from "node:net";
 import type { Address } from "./settings.ts";
 
-/**
- * Listens at `address` and returns the port; the system chooses it if it is 0.
- */
+/** Listens at `address` and returns the port; the system chooses it if 0. */
 export function listen(server: Server, address: Address): Promise<number> {
   return new Promise((resolve, reject) => {
     server.once("error", reject);
--- a/packages/gateway/src/observe/event_log.ts
+++ b/packages/gateway/src/observe/event_log.ts
@@ -1,10 +1,11 @@
 /**
- * Structured log lines on standard output, limited in number and never blocking.
+ * Structured log lines on standard output, limited in number and never
+ * blocking.
  *
- * If the reader of the output stops reading, a synchronous write would block and
- * with it every request. Lines are therefore kept in a bounded buffer and written by
- * one asynchronous write at a time. Lines that do not fit are counted, and the count
- * is logged once there is space again.
+ * If the reader of the output stops reading, a synchronous write would block
+ * and with it every request. Lines are therefore kept in a bounded buffer and
+ * written by one asynchronous write at a time. Lines that do not fit are
+ * counted, and the count is logged once there is space again.
  * @module
  */
 import "./log_environment.ts";
@@ -12,9 +13,9 @@
 import { Roarr } from "roarr";
 import type { LogEvent } from "./events.ts";
 
-/** Largest number of lines per second for each event; others are only counted. */
+/** Maximum lines per second for each event; others are only counted. */
 const MAX_LINES_PER_SECOND = 100;
-/** Largest total length, in characters, of the lines that wait for a slow reader. */
+/** Maximum characters of all lines that wait for a slow reader. */
 const MAX_BUFFERED_LENGTH = 256 * 1024;
 /** File descriptor. */
 const STANDARD_OUTPUT = 1;
@@ -75,7 +76,7 @@
   }
 }
 
-/** Logs events with the name of the process, within the limits stated above. */
+/** Logs events with the instance's name, within the limits stated above. */
 export class EventLog {
   readonly #sink: LineSink;
   readonly #logger: typeof Roarr;
@@ -125,12 +126,13 @@
     this.#omitted.set(name, (this.#omitted.get(name) ?? 0) + 1);
   }
 
-  /** Logs how many lines were omitted, once a new second has begun for the event. */
+  /** Logs how many lines were omitted, once the event's second is over. */
   #logOmitted(): void {
     if (this.#omitted.size === 0) return;
     const now = this.#clock();
-    // Iterates over a copy: a line that does not fit is counted in the map again, so
-    // a loop over the map itself would never end while nobody reads the output.
+    // Iterates over a copy: a line that does not fit is counted in the map
+    // again, so a loop over the map itself would never end while nobody reads
+    // the output.
     for (const [of, lines] of [...this.#omitted]) {
       const budget = this.#budgets.get(of);
       if (budget !== undefined && now - budget.since < 1000) continue;
--- a/packages/gateway/src/observe/events.ts
+++ b/packages/gateway/src/observe/events.ts
@@ -1,9 +1,10 @@
-/** All events that the gateway may log. Durations are in milliseconds. @module */
+/** All events that the gateway may log; durations in milliseconds. @module */
 
 /** A decision, or a change of what the process knows. */
 export type LogEvent =
   | { event: "started"; dataCentre: string; startTime: number }
   | { event: "stopping"; active: number; grace: number }
+  /** `cut`: number of requests that were still running. */
   | { event: "stopped"; cut: number }
   | { event: "reloaded"; changed: boolean; detail: string }
   | { event: "registered"; lease: number }
@@ -30,11 +31,11 @@
   | {
     event: "store_call_failed";
     step: string;
-    /** Prefix that was read or watched; empty for calls about the entry's lease. */
+    /** Prefix that was read or watched; empty for calls about a lease. */
     prefix: string;
     reason: string;
     detail: string;
-    /** From sending the call until it was given up. */
+    /** From the start of the call until it failed. */
     time: number;
   }
   /** Newer state was requested from a peer, or sent to one. */
@@ -77,11 +78,11 @@
     version: number;
     attempt: number;
     organisation: string;
-    /** Units charged to the quota: tokens, or 1 if the quota counts requests. */
+    /** Charge to the quota: tokens, or 1 if the quota counts requests. */
     charge: number;
     /**
-     * Requests per second that the server states, the entry that observed it, and
-     * the age of the observation. Absent while the server states no limit.
+     * Requests per second that the server states, the entry that observed it,
+     * and the age of the observation. Absent while the server states no limit.
      */
     limit?: number;
     limitBy?: string;
@@ -108,17 +109,17 @@
     waited: number;
     retryAfter: number;
     version: number;
-    /** Empty if the route requires no credential; absent before it is resolved. */
+    /** Empty if the route requires no credential; absent if not resolved. */
     organisation?: string;
     tierRank?: number;
     routeRank?: number;
-    /** The entry that decided, and the inputs of its decision (`RefusalInputs`). */
+    /** The entry that decided, and its inputs; see `RefusalInputs`. */
     by?: string;
     free?: number;
     waiting?: number;
     quotaWait?: number;
     standing?: string;
-    /** Prompt tokens, expected output tokens, and units charged to the quota. */
+    /** Prompt tokens, expected output tokens, and charge to the quota. */
     promptTokens?: number;
     outputTokens?: number;
     charge?: number;
@@ -128,6 +129,7 @@
     request: string;
     server: string;
     reason: string;
+    /** Number of servers that may have run the request. */
     sent: number;
   }
   | {
@@ -137,15 +139,17 @@
     reason: string;
     time: number;
   }
+  /** The caller disconnected; `state` is `sent` or `waiting`. */
   | { event: "left"; request: string; state: string; time: number }
   | {
     event: "answered";
     request: string;
     server: string;
     status: number;
+    /** From the arrival of the request until the first part of the response. */
     first: number;
     time: number;
-    /** Prompt tokens, expected output tokens, and number of times events were sent. */
+    /** Prompt tokens, expected output tokens, and times events were sent. */
     promptTokens: number;
     outputTokens: number;
     events: number;
@@ -157,8 +161,11 @@
     service: string;
     waiting: number;
     running: number;
+    /** Slots of all servers together. */
     places: number;
+    /** Grants in the last second. */
     granted: number;
+    /** Fractions of capacity and quotas that the entry grants from. */
     room: number;
     quota: number;
     /** Total shares of all entries, as this one counts them. */
--- a/packages/gateway/src/observe/load_report.ts
+++ b/packages/gateway/src/observe/load_report.ts
@@ -1,9 +1,9 @@
-/** Reports the load of services and the limits that their servers state. @module */
+/** Reports the load of services and the limits of their servers. @module */
 import type { GrantClient } from "../peers/grant_client.ts";
 import type { EventLog } from "./event_log.ts";
 import type { GatewayMetrics } from "./metrics.ts";
 
-/** Logs the load of each service every second, and updates the gauges. */
+/** Logs the load of each service, and updates the gauges. */
 export class LoadReport {
   readonly #grantClient: GrantClient;
   readonly #log: EventLog;
--- a/packages/gateway/src/observe/log_environment.ts
+++ b/packages/gateway/src/observe/log_environment.ts
@@ -1,4 +1,4 @@
-/** Enables roarr, which logs only if this is set before it is loaded. @module */
+/** Enables roarr, which reads this variable when it is loaded. @module */
 import process from "node:process";
 
 process.env.ROARR_LOG ??= "true";
--- a/packages/gateway/src/observe/metrics.ts
+++ b/packages/gateway/src/observe/metrics.ts
@@ -1,7 +1,7 @@
 /** Counters and histograms of one gateway, by `prom-client`. @module */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
-/** Bounds of the buckets in seconds; dense around the goals of 0.15 to 0.6 s. */
+/** Bucket bounds in seconds; dense around the goals of 0.15 to 0.6 s. */
 const BUCKETS = [0.002, 0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 5, 15];
 
 /** All metrics of the gateway; their names are part of its interface. */
--- a/packages/gateway/src/peers/grant_client.ts
+++ b/packages/gateway/src/peers/grant_client.ts
@@ -25,9 +25,7 @@
 
 const NO_STREAM_TIMING: StreamTiming = { tokens: 0, measured: 0, pausePart: 0 };
 
-/**
- * A grant request without its identity; times are those of this entry's clock.
- */
+/** A grant request without its identity; times are of this entry's clock. */
 export type GrantRequestOptions = Omit<GrantRequest, "id" | "entry">;
 
 /** State of the fleet as known to this entry. */
@@ -114,9 +112,7 @@
     this.#localGranter.setLeeway(leeway);
   }
 
-  /**
-   * Selects the granting entry, and the fractions that this entry grants from.
-   */
+  /** Updates the granting entry, and the fractions that are granted here. */
   updateGroup(view: FleetView): void {
     const { peers, self, shares, reportedTotalShares } = view;
     const entries: PeerEntry[] = [
@@ -127,7 +123,8 @@
     // If all entries drain at once they stay one group: each entry on its own
     // would use every quota in full.
     const candidates = active.length > 0 ? active : entries;
-    // The successor may have failed together with the previous granting entry.
+    // An entry that has not answered a probe may have failed together with the
+    // previous granting entry.
     const responsive = candidates.filter((entry) => !entry.probePending);
     const granting = selectGrantingEntry(responsive) ?? this.#instance;
     const reachable = entries.map(({ name, listed, asks }) => {
@@ -172,9 +169,7 @@
     return { id, result };
   }
 
-  /**
-   * Cancels a grant request that no longer waits, or whose grant is not used.
-   */
+  /** Withdraws a grant request that no longer waits, or its unused grant. */
   withdraw(id: string): void {
     const pending = this.#pending.get(id);
     if (pending === undefined) return;
@@ -183,9 +178,7 @@
     else this.#sendToGrantingEntry({ type: "withdraw", id });
   }
 
-  /**
-   * `measured`: milliseconds from sending the request until the response began.
-   */
+  /** `measured`: milliseconds from sending until the response began. */
   recordResponseStart(id: string, measured: number): void {
     if (!this.#pending.has(id)) return;
     if (this.#grantsLocally) {
--- a/packages/gateway/src/peers/heartbeats.ts
+++ b/packages/gateway/src/peers/heartbeats.ts
@@ -21,9 +21,7 @@
 /** Minimum milliseconds between probes of the peers. */
 const PROBE_INTERVAL = 1000;
 
-/**
- * Heartbeats over the links of one entry, keyed by the peer's instance name.
- */
+/** Heartbeats over the links of one entry, by the peer's instance name. */
 export class Heartbeats {
   readonly #instance: string;
   readonly #links: ReadonlyMap<string, PeerLink>;
@@ -155,9 +153,7 @@
     link.sendHeartbeat({ status, interval, reply }, now);
   }
 
-  /**
-   * Probes peers without a recent message when the granting entry is silent.
-   */
+  /** Probes peers without a recent message if the granting entry is silent. */
   #probeSuccessors(status: PeerStatus, now: number): void {
     const grantingLink = this.#links.get(this.#grantingEntry);
     if (grantingLink === undefined) return;
--- a/packages/gateway/src/peers/local_granter.ts
+++ b/packages/gateway/src/peers/local_granter.ts
@@ -59,16 +59,12 @@
     this.#scheduler = new GroupScheduler(options.leeway, options.limits.known);
   }
 
-  /**
-   * Fractions of the fleet's capacity and quotas that this entry grants from.
-   */
+  /** Fractions of the fleet's capacity and quotas that are granted here. */
   get fractions(): GroupFractions {
     return this.#fractions;
   }
 
-  /**
-   * Load of each service; empty while no entry has this one as granting entry.
-   */
+  /** Load of each service; empty while this entry is no granting entry. */
   loads(): ServiceLoad[] {
     return this.#fractions.room === 0
       ? []
--- a/packages/gateway/src/peers/messages.ts
+++ b/packages/gateway/src/peers/messages.ts
@@ -80,7 +80,7 @@
   v.object({
     type: v.literal("heartbeat"),
     configurationRevision: count,
-    /** The store confirmed that revision to the sender; no call failed since. */
+    /** The store confirmed it to the sender, and no call has failed since. */
     configurationConfirmed: v.optional(v.boolean(), false),
     serverRevision: count,
     /** The sender is draining. */
@@ -132,9 +132,7 @@
   v.object({ type: v.literal("withdraw"), id: text }),
   /** The sender has another granting entry now; granted requests still run. */
   v.object({ type: v.literal("release"), id: text }),
-  /**
-   * `measured`: milliseconds from sending the request until its response began.
-   */
+  /** `measured`: milliseconds from sending until the response began. */
   v.object({ type: v.literal("first_answer"), id: text, measured: duration }),
   v.object({
     type: v.literal("ended"),
--- a/packages/gateway/src/peers/peer_link.ts
+++ b/packages/gateway/src/peers/peer_link.ts
@@ -11,7 +11,7 @@
 /** Status that a peer announces in its heartbeats. */
 export type PeerStatus = {
   configurationRevision: number;
-  /** The store confirmed that revision to the peer; no call failed since. */
+  /** The store confirmed it to the peer, and no call has failed since. */
   configurationConfirmed: boolean;
   serverRevision: number;
   /** The peer is draining. */
--- a/packages/gateway/src/peers/peers.ts
+++ b/packages/gateway/src/peers/peers.ts
@@ -17,6 +17,7 @@
 
 /** Minimum milliseconds between two dials of the same address. */
 const REDIAL_DELAY = 500;
+/** Milliseconds until an attempt to connect is given up. */
 const DIAL_TIMEOUT = 500;
 
 /** Another entry as a member of the group. */
@@ -84,9 +85,7 @@
     });
   }
 
-  /**
-   * Connected peers; draining ones are included, as they still request grants.
-   */
+  /** Connected peers, also draining ones, as they still request grants. */
   connectedPeers(): string[] {
     return [...this.#links.keys()];
   }
@@ -122,9 +121,7 @@
     return this.#links.get(peer)?.knowsMembers ?? false;
   }
 
-  /**
-   * Rank of this entry by name among the connected entries, and their number.
-   */
+  /** Rank of this entry by name among the connected ones, and their number. */
   watchGroup(): WatchGroup {
     const names = this.connectedPeers();
     const rank = names.filter((name) => name < this.#instance).length;
@@ -306,9 +303,7 @@
     this.#events.onPeerConnected(instance);
   }
 
-  /**
-   * If both sides dialled, both keep the link that the first by name opened.
-   */
+  /** Both sides dialled: both keep the link that the first by name opened. */
   #resolveDuplicate(
     instance: string,
     existing: PeerLink,
--- a/packages/gateway/src/peers/state_documents.ts
+++ b/packages/gateway/src/peers/state_documents.ts
@@ -9,15 +9,11 @@
 const compress = promisify(gzip);
 const decompress = promisify(gunzip);
 
-/**
- * Size of a part in bytes; a heartbeat waits for at most one part to be sent.
- */
+/** Bytes of a part; a heartbeat waits for at most one part to be sent. */
 const PART_BYTES = 32 * 1024;
 /** Maximum decompressed size of a state from a peer, in bytes. */
 const MAXIMUM_STATE_BYTES = 16 * 1024 * 1024;
-/**
- * Revisions in the cache: a peer may still read one when a newer one exists.
- */
+/** Revisions in the cache: a peer may still read one that is not the newest. */
 const CACHED_REVISIONS = 4;
 
 /** One revision, compressed. */
@@ -48,9 +44,7 @@
 export class StateDocuments {
   readonly #cache = new Map<number, Promise<StateDocument>>();
 
-  /**
-   * Returns the document of `revision` if cached, otherwise that of `newest`.
-   */
+  /** Returns the document of `revision` if cached, otherwise of `newest`. */
   async get(
     revision: number,
     newest: { revision: number; text: () => string },
--- a/packages/gateway/src/request/backend_headers.ts
+++ b/packages/gateway/src/request/backend_headers.ts
@@ -1,4 +1,4 @@
-/** Headers sent to a backend server, and the fingerprint of a request. @module */
+/** Headers for a backend server, and the fingerprint of a request. @module */
 import { createHash } from "node:crypto";
 import type { ServerRecord } from "@sycamorepulley/decisions";
 import type { ParsedRequest } from "../front/parsed_request.ts";
@@ -6,8 +6,8 @@
 import type { ResolvedRequest } from "./resolve_request.ts";
 
 /**
- * Alternating names and values. `lastEventId`: id of the last event passed on, if
- * the request resumes a stream.
+ * Alternating names and values. `lastEventId`: id of the last event passed on,
+ * if the request resumes a stream.
  */
 export function backendHeaders(
   options: {
@@ -35,8 +35,9 @@
 }
 
 /**
- * Hash that is the same for all attempts of one request, at whichever entry they
- * arrive. `requestIdHeader`: the header that differs from attempt to attempt.
+ * Hash that is the same for all attempts of one request, at whichever entry
+ * they arrive. `requestIdHeader`: the header that differs from attempt to
+ * attempt.
  */
 export function requestFingerprint(
   parsed: ParsedRequest,
--- a/packages/gateway/src/request/caller_connection.ts
+++ b/packages/gateway/src/request/caller_connection.ts
@@ -1,4 +1,4 @@
-/** The caller's side of one request: its body, disconnect and response. @module */
+/** The caller's side of a request: body, disconnect and response. @module */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { Result } from "true-myth/result";
 import type { ResponseHead } from "../backend/backend_connection.ts";
@@ -38,14 +38,14 @@
     return this.#disconnected;
   }
 
-  /** True once a part of a server's response was passed on. */
+  /** True once the head of the response was sent. */
   get responseStarted(): boolean {
     return this.#response.headersSent;
   }
 
   /**
-   * Reads the whole body; `undefined` if it is empty. Fails if it is larger than
-   * `maxBytes` or ends early.
+   * Reads the whole body; `undefined` if it is empty. Fails if it is larger
+   * than `maxBytes` or ends early.
    */
   readBody(
     maxBytes: number,
@@ -96,9 +96,9 @@
   }
 
   /**
-   * Ends a stream. The end of a close-delimited response (one that ends with its
-   * connection) can't be told from a crash of its server. A caller whose own
-   * response is chunked would take the end for a complete stream, so its
+   * Ends a stream. The end of a close-delimited response (one that ends with
+   * its connection) can't be told from a crash of its server. A caller whose
+   * own response is chunked would take the end for a complete stream, so its
    * connection is aborted instead.
    */
   endStream(closeDelimited: boolean): void {
@@ -107,15 +107,15 @@
     else this.#response.end();
   }
 
-  /** Closes the connection, so that the response can't be taken for complete. */
+  /** Closes the connection, so that the response doesn't look complete. */
   abortResponse(): void {
     this.#response.destroy();
   }
 
   /**
-   * Makes the response end with its connection, as the server's does. A server that
-   * crashes closes its connections too; with a content length, a truncated body
-   * would look complete to the caller.
+   * Makes the response end with its connection, as the server's does. A server
+   * that crashes closes its connections too; with a content length, a truncated
+   * body would look complete to the caller.
    */
   #useCloseDelimiting(): void {
     this.#closeDelimited = true;
--- a/packages/gateway/src/request/drain_admission.ts
+++ b/packages/gateway/src/request/drain_admission.ts
@@ -1,22 +1,22 @@
 /**
- * Decides which requests a draining entry still admits after the first phase of its
- * stop, in which it admits all.
+ * Decides which requests a draining entry still admits after the first phase of
+ * its stop, in which it admits all.
  *
  * All entries may be restarted one after the other, faster than their longest
- * streams end. To keep at least one entry listening at any time, an entry listens
- * for as long as its process lives. It serves the requests that are certain to end
- * before the process does, and refuses all others as not run.
+ * streams end. To keep at least one entry listening at any time, an entry
+ * listens for as long as its process lives. It serves the requests that are
+ * certain to end before the process does, and refuses all others as not run.
  * @module
  */
 import { StreamDurationBound } from "@sycamorepulley/decisions";
 import type { ResolvedRequest } from "./resolve_request.ts";
 
-/** Milliseconds before the end of the process by which admitted requests end. */
+/** Milliseconds before the process's end by which admitted requests end. */
 const END_MARGIN = 300;
-/** Milliseconds from the end of a process until its successor accepts requests. */
+/** Milliseconds from a process's end until its successor accepts requests. */
 const RESTART_TIME = 1000;
 
-/** Admission of requests while draining; instants are of the process's clock. */
+/** Admission while draining; instants are those of the process's clock. */
 export class DrainAdmission {
   readonly streamDurations = new StreamDurationBound();
   #endAt: number | undefined;
--- a/packages/gateway/src/request/event_buffer.ts
+++ b/packages/gateway/src/request/event_buffer.ts
@@ -1,7 +1,7 @@
 /**
- * Splits a stream of server-sent events into complete events. A server may fail in
- * the middle of an event. A partial event must not reach the caller, because the
- * next server's events would be appended to it.
+ * Splits a stream of server-sent events into complete events. A server may fail
+ * in the middle of an event. A partial event must not reach the caller, because
+ * the next server's events would be appended to it.
  * @module
  */
 
@@ -25,7 +25,7 @@
     return this.#partialEvent.length > 0;
   }
 
-  /** Returns the bytes up to the end of the last event that `chunk` completes. */
+  /** Returns the bytes up to the end of the last complete event, if any. */
   push(chunk: Buffer): Buffer | undefined {
     const bytes = this.#partialEvent.length === 0
       ? chunk
--- a/packages/gateway/src/request/exchange.ts
+++ b/packages/gateway/src/request/exchange.ts
@@ -30,8 +30,8 @@
   /** A complete stream, already passed on. */
   | { kind: "stream"; closeDelimited: boolean }
   /**
-   * The server stated that it did not run the request. `misdirected`: the request
-   * was meant for another server.
+   * The server stated that it did not run the request. `misdirected`: the
+   * request was meant for another server.
    */
   | { kind: "not_run"; misdirected: boolean }
   /** No complete response; the request may have run. */
@@ -73,7 +73,7 @@
       sink: StreamSink;
       /** Called with the head of a response that the server itself sent. */
       onHead: (head: ResponseHead) => void;
-      /** Called at the first event of a stream, or the end of a plain response. */
+      /** Called at a stream's first event, or the end of a plain response. */
       onFirstPart: () => void;
     },
   ) {
--- a/packages/gateway/src/request/final_response.ts
+++ b/packages/gateway/src/request/final_response.ts
@@ -1,4 +1,7 @@
-/** The end of a request: one response, or none if its caller disconnected. @module */
+/**
+ * The end of a request: one response, or none if its caller has disconnected.
+ * @module
+ */
 import type { RefusalInputs, ServerRecord } from "@sycamorepulley/decisions";
 import type { ResponseProgress } from "./response_progress.ts";
 import type { CallerConnection } from "./caller_connection.ts";
@@ -7,8 +10,8 @@
 import type { ErrorReason } from "./error_response.ts";
 import type { RequestReport } from "./request_report.ts";
 
-/** Largest share of the remaining time that a caller is asked to wait. */
-const MAX_RETRY_AFTER_SHARE = 1 / 3;
+/** Maximum fraction of the remaining time that a caller is asked to wait. */
+const MAX_RETRY_AFTER_FRACTION = 1 / 3;
 
 /** Why a request fails or is refused; durations in milliseconds. */
 export type GiveUpOptions = {
@@ -91,7 +94,7 @@
     const status = errorStatus(reason, mayHaveRun);
     const limitedRetryAfter = retryAfter === undefined ? undefined : Math.min(
       retryAfter,
-      Math.max(0, remainingTime) * MAX_RETRY_AFTER_SHARE,
+      Math.max(0, remainingTime) * MAX_RETRY_AFTER_FRACTION,
     );
     this.#caller.sendError(status, reason, limitedRetryAfter);
     this.#report.recordRefusal(reason, {
--- a/packages/gateway/src/request/request_context.ts
+++ b/packages/gateway/src/request/request_context.ts
@@ -19,7 +19,7 @@
   metrics: GatewayMetrics;
   grantClient: GrantClient;
   connectionPool: ConnectionPool;
-  /** Resolves once requests may be handled; pending only while the process starts. */
+  /** Resolves once requests may be handled; pending only during the start. */
   ready: Promise<void>;
   activeConfiguration: () => ActiveConfiguration | undefined;
   /** False if the configuration in force may be out of date. */
--- a/packages/gateway/src/request/request_handler.ts
+++ b/packages/gateway/src/request/request_handler.ts
@@ -11,8 +11,8 @@
 import { resolveRequest } from "./resolve_request.ts";
 
 /**
- * Milliseconds a refused caller is asked to wait unless stated otherwise; enough for
- * an entry that is starting.
+ * Milliseconds a refused caller is asked to wait unless stated otherwise;
+ * enough for an entry that is starting.
  */
 const DEFAULT_RETRY_AFTER = 500;
 
@@ -72,9 +72,9 @@
     }
     await ready;
     // A process that is short of processor time may read a request whose caller
-    // has already disconnected, and see the end of the connection only after the
-    // next poll of the event loop. The first turn ends the callbacks of this poll;
-    // the second one comes after the next poll.
+    // has already disconnected, and see the end of the connection only after
+    // the next poll of the event loop. The first turn ends the callbacks of
+    // this poll; the second one comes after the next poll.
     await nextTurn();
     await nextTurn();
     if (caller.disconnected) return;
@@ -106,7 +106,7 @@
       caller,
       body: body.value,
     });
-    caller.onDisconnect(() => task.callerDisconnected());
+    caller.onDisconnect(() => task.handleDisconnect());
     await task.run();
   }
 
--- a/packages/gateway/src/request/request_task.ts
+++ b/packages/gateway/src/request/request_task.ts
@@ -1,11 +1,11 @@
 /**
  * Runs one caller's request from its arrival to its final response.
  *
- * A request has certainly not run until something was written to a server; until
- * then it may be refused as not run. After that, only an explicit statement of the
- * server (status 421, or the `notRun` header) proves that it did not run. In all
- * other cases it may have run: it is retried only if its route allows repetition,
- * and it is never reported to the caller as not run.
+ * A request has certainly not run until something was written to a server;
+ * until then it may be refused as not run. After that, only an explicit
+ * statement of the server (status 421, or the `notRun` header) proves that it
+ * did not run. In all other cases it may have run: it is retried only if its
+ * route allows repetition, and it is never reported to the caller as not run.
  * @module
  */
 import { incarnationOf, isRepeatable } from "@sycamorepulley/decisions";
@@ -27,15 +27,15 @@
 import type { AttemptResult, AttemptTarget } from "./server_attempt.ts";
 
 /**
- * Largest number of grants for one request, including those that failed. A refused
- * connection costs about a millisecond and runs nothing, and when a whole data
- * centre is down every server in it refuses one.
+ * Maximum number of grants for one request, including those that failed. A
+ * refused connection costs about a millisecond and runs nothing, and when a
+ * whole data centre is down every server in it refuses one.
  */
 const MAX_GRANTS = 20;
-/** Milliseconds a refused caller is asked to wait if no better estimate exists. */
+/** Milliseconds a refused caller is asked to wait by default. */
 const DEFAULT_RETRY_AFTER = 300;
 
-/** Gets grants for a request, sends it to servers, and responds to its caller. */
+/** Gets grants for a request, sends it to servers, responds to the caller. */
 export class RequestTask {
   readonly #context: RequestContext;
   readonly #parsed: ParsedRequest;
@@ -47,12 +47,12 @@
   readonly #response: FinalResponse;
   readonly #progress = new ResponseProgress();
   readonly #excludedServers: string[] = [];
-  /** Number of servers that the request was written to and that may have run it. */
+  /** Number of servers that were sent the request and may have run it. */
   #serversSentTo = 0;
   #mayHaveRun = false;
   #cancelStep: (() => void) | undefined;
   #timedOut = false;
-  /** True if the retry after a silence has already been charged to the budget. */
+  /** True if the retry after a silence was already taken from the budget. */
   #retryConsumed = false;
 
   constructor(
@@ -80,7 +80,7 @@
   }
 
   /** Cancels the current step, as nobody waits for the response any more. */
-  callerDisconnected(): void {
+  handleDisconnect(): void {
     this.#cancelStep?.();
   }
 
@@ -117,8 +117,9 @@
   }
 
   /**
-   * Returns true if the request has its response, its caller has disconnected, or its
-   * time is up. Records a disconnect, and sends an error when the time is up.
+   * Returns true if the request has its response, its caller has disconnected,
+   * or its time is up. Records a disconnect, and sends an error when the time
+   * is up.
    */
   #finishIfOver(): boolean {
     if (this.#response.settled) return true;
@@ -135,8 +136,8 @@
   }
 
   /**
-   * Resolves to the granted server, or to `undefined` if the request was refused,
-   * was cancelled, or has to request another grant.
+   * Resolves to the granted server, or to `undefined` if the request was
+   * refused, was cancelled, or has to request another grant.
    */
   async #requestGrant(
     grant: number,
@@ -243,7 +244,7 @@
     return result;
   }
 
-  /** Returns true if the silent server is given up and the request is retried. */
+  /** Returns true if the request is retried and the silent server abandoned. */
   #abandonSilentServer(server: ServerRecord): boolean {
     this.#retryConsumed = this.#consumeRetry(server, "silent");
     return this.#retryConsumed;
@@ -334,7 +335,7 @@
     this.#giveUp("not_run", DEFAULT_RETRY_AFTER);
   }
 
-  /** Takes a retry from the service's budget; false if the budget is exhausted. */
+  /** Takes a retry from the service's budget; false if it is exhausted. */
   #consumeRetry(server: ServerRecord, reason: string): boolean {
     const { consumeRetry, clock } = this.#context;
     const { service } = this.#resolved;
@@ -357,7 +358,7 @@
     });
   }
 
-  /** The result, or `undefined` if the caller disconnects or the time is up first. */
+  /** The result; `undefined` if the caller disconnects or time is up first. */
   #unlessCancelled(
     result: Promise<GrantResult>,
   ): Promise<GrantResult | undefined> {
--- a/packages/gateway/src/request/resolve_request.ts
+++ b/packages/gateway/src/request/resolve_request.ts
@@ -31,16 +31,16 @@
   | "bad_credential";
 
 /**
- * Expected output tokens as a share of the largest number that the caller allows, if
- * it gives no estimate.
+ * Expected output tokens as a fraction of the maximum that the caller allows,
+ * if it gives no estimate.
  */
-const EXPECTED_OUTPUT_SHARE = 0.1;
+const EXPECTED_OUTPUT_FRACTION = 0.1;
 /** Cost, in tokens, of a request that states no token usage. */
 const PLAIN_REQUEST_COST: Cost = { promptTokens: 0, outputTokens: 1 };
 
 /**
- * Resolves a request by the configuration in force. `randomDraw`, in [0, 1), selects
- * the service if the route splits its traffic.
+ * Resolves a request by the configuration in force. `randomDraw`, in [0, 1),
+ * selects the service if the route splits its traffic.
  */
 export function resolveRequest(
   parsed: ParsedRequest,
@@ -63,7 +63,7 @@
   const { statedTokens: tokens } = parsed;
   const maxOutputTokens = tokens?.outputTokens ?? 0;
   const expected = parsed.expectedOutputTokens ??
-    maxOutputTokens * EXPECTED_OUTPUT_SHARE;
+    maxOutputTokens * EXPECTED_OUTPUT_FRACTION;
   return Result.ok({
     route,
     service,
--- a/packages/gateway/src/request/response_progress.ts
+++ b/packages/gateway/src/request/response_progress.ts
@@ -1,15 +1,15 @@
 /** Progress of the response to one request, over all attempts. @module */
-
 import type { StreamTiming } from "@sycamorepulley/decisions";
 
 /** Timing of a response that tells nothing about the speed of its server. */
 const NO_TIMING: StreamTiming = { tokens: 0, measured: 0, pausePart: 0 };
 
-/** Instants are those of the clock whose time is passed in. */
+/** Records the parts of the response as they arrive; times in milliseconds. */
 export class ResponseProgress {
   /** Id of the last event passed on. */
   lastEventId: string | undefined;
   firstPartAt: number | undefined;
+  /** Number of times that one or several events were passed on. */
   eventCount = 0;
   longestPause = 0;
   #lastEventsAt: number | undefined;
@@ -29,9 +29,9 @@
   }
 
   /**
-   * Timing by which the server is judged; empty if several servers took part.
-   * `acceptedPause`: longest pause in milliseconds that the route allows, if it
-   * states one.
+   * Timing by which the server is judged; empty if several servers took part,
+   * or if events were passed on only once. `acceptedPause`: longest pause in
+   * milliseconds that the route allows, if it states one.
    */
   timing(
     serverCount: number,
--- a/packages/gateway/src/request/retry_budgets.ts
+++ b/packages/gateway/src/request/retry_budgets.ts
@@ -3,20 +3,20 @@
 import type { RetryBudgetOptions } from "@sycamorepulley/decisions";
 import type { GatewayBounds } from "../settings.ts";
 
-/** Share of the fleet's retries that is used, as others may count them differently. */
-const USED_SHARE = 0.6;
+/** Fraction of the allowed retries to use, as others may count differently. */
+const USED_FRACTION = 0.6;
 
 /** Takes a retry from the budget of the service; false if it is exhausted. */
 export type ConsumeRetry = (service: string, now: number) => boolean;
 
-/** Keeps a budget for each service, by the current bounds and number of entries. */
+/** Keeps a budget for each service, by the current bounds and total shares. */
 export function createRetryBudgets(
   bounds: () => GatewayBounds,
-  entries: () => number,
+  totalShares: () => number,
 ): ConsumeRetry {
   const budgets = new Map<string, RetryBudget>();
   return (service, now) => {
-    const options = budgetOptions(bounds(), Math.max(1, entries()));
+    const options = budgetOptions(bounds(), Math.max(1, totalShares()));
     const existing = budgets.get(service);
     existing?.configure(options, now);
     const budget = existing ?? new RetryBudget(options);
@@ -27,13 +27,14 @@
 
 function budgetOptions(
   bounds: GatewayBounds,
-  entries: number,
+  totalShares: number,
 ): RetryBudgetOptions {
   const { retryRatio, retrySlack, retryWindowSeconds } = bounds;
-  const largest = retrySlack * USED_SHARE / entries;
+  // In one window, the stored half and the refilled half add up to the slack.
+  const usedSlack = retrySlack * USED_FRACTION / totalShares;
   return {
-    retriesPerSuccess: retryRatio * USED_SHARE,
-    refillPerSecond: largest / 2 / retryWindowSeconds,
-    capacity: Math.max(2, largest / 2),
+    retriesPerSuccess: retryRatio * USED_FRACTION,
+    refillPerSecond: usedSlack / 2 / retryWindowSeconds,
+    capacity: Math.max(2, usedSlack / 2),
   };
 }
--- a/packages/gateway/src/request/server_attempt.ts
+++ b/packages/gateway/src/request/server_attempt.ts
@@ -14,8 +14,8 @@
 import { SilenceWatchdog } from "./silence_watchdog.ts";
 
 /**
- * Milliseconds without a first part of the response after which a server counts as
- * unresponsive.
+ * Milliseconds without a first part of the response after which a server counts
+ * as unresponsive.
  */
 const UNRESPONSIVE_AFTER = 1500;
 
@@ -29,7 +29,7 @@
   progress: ResponseProgress;
 };
 
-/** The granted server and a connection to it; `grantId` is the id of the grant. */
+/** The granted server and a connection to it; `grantId` names the grant. */
 export type AttemptTarget = {
   grantId: string;
   server: ServerRecord;
@@ -47,9 +47,9 @@
   readonly #sentAt: number;
   #watchdog: SilenceWatchdog | undefined;
 
-  constructor(request: AttemptRequest, at: AttemptTarget) {
+  constructor(request: AttemptRequest, target: AttemptTarget) {
     this.#request = request;
-    this.#target = at;
+    this.#target = target;
     this.#sentAt = request.context.clock();
     this.#exchange = this.#createExchange();
   }
@@ -89,11 +89,12 @@
     }
     const unresponsive = !this.#exchange.firstPartReceived &&
       time > UNRESPONSIVE_AFTER;
-    // The caller disconnected while the server had sent nothing for a long time.
-    const leftUnresponsive = result.kind === "aborted" && unresponsive;
+    // Cancelled after the server had sent nothing for a long time: the server
+    // is judged by that.
+    const cancelledUnresponsive = result.kind === "aborted" && unresponsive;
     return {
       result,
-      runOutcome: leftUnresponsive ? "broken" : runOutcomeOf(result),
+      runOutcome: cancelledUnresponsive ? "broken" : runOutcomeOf(result),
     };
   }
 
--- a/packages/gateway/src/request/silence_watchdog.ts
+++ b/packages/gateway/src/request/silence_watchdog.ts
@@ -1,9 +1,10 @@
 /**
  * Detects a server that has stopped sending.
  *
- * A server or network that fails silently closes no connection. Callers wait for two
- * seconds, disconnect, and count the response as lost. If the silence is detected in
- * half of that time, the request can still be retried at another server.
+ * A server or network that fails silently closes no connection. Callers wait
+ * for two seconds, disconnect, and count the response as lost. If the silence
+ * is detected in half of that time, the request can still be retried at another
+ * server.
  * @module
  */
 
--- a/packages/gateway/src/request/timeouts.ts
+++ b/packages/gateway/src/request/timeouts.ts
@@ -3,11 +3,12 @@
 import type { ResolvedRequest } from "./resolve_request.ts";
 import type { SilenceTimeouts } from "./silence_watchdog.ts";
 
-/** Least remaining time, in milliseconds, for a request to be sent to a server. */
+/** Minimum remaining milliseconds for a request to be sent to a server. */
 export const MIN_REMAINING_TIME = 20;
 /**
- * Milliseconds without data after which callers of a stream disconnect: the largest
- * of this, four times the latency goal and eight times the longest allowed pause.
+ * Milliseconds without data after which callers of a stream disconnect: the
+ * largest of this, four times the latency goal and eight times the longest
+ * allowed pause.
  */
 const CALLER_STREAM_TIMEOUT = 2000;
 /** That timeout as a multiple of the latency goal. */
@@ -17,9 +18,9 @@
 /** Milliseconds of that timeout that a server needs to send its first event. */
 const FIRST_EVENT_RESERVE = 400;
 /**
- * Silence until the first part after which a repeatable request is retried at another
- * server, as a multiple of the latency goal. First parts arrive within 0.3 s of
- * sending, as only free slots are granted; callers disconnect after 2 s.
+ * Silence until the first part after which a repeatable request is retried at
+ * another server, as a multiple of the latency goal. First parts arrive within
+ * 0.3 s, as only free slots are granted; callers disconnect after 2 s.
  */
 const FIRST_PART_TIMEOUT_GOALS = 2;
 /** The same between later parts, as a multiple of the longest allowed pause. */
@@ -28,18 +29,19 @@
 const MIN_SILENCE_TIMEOUT = 400;
 
 /**
- * Largest share of a caller's time that its request waits for a grant. A caller that
- * is refused then can retry and still get a complete response in time.
+ * Maximum fraction of a caller's time that its request waits for a grant. A
+ * caller that is refused then can retry and still get a complete response in
+ * time.
  */
-const MAX_WAIT_SHARE = 0.25;
+const MAX_WAIT_FRACTION = 0.25;
 
 /**
- * Instant after which a grant is of no use. `from`: when the caller last received
- * something, or sent its request.
+ * Instant after which a grant is of no use. `from`: when the caller last
+ * received something, or sent its request.
  */
 export function grantDeadline(resolved: ResolvedRequest, from: number): number {
   const { route, deadline } = resolved;
-  const latest = from + (deadline - from) * MAX_WAIT_SHARE;
+  const latest = from + (deadline - from) * MAX_WAIT_FRACTION;
   if (route.repeatability !== "streaming") return deadline - MIN_REMAINING_TIME;
   const callerTimeout = Math.max(
     CALLER_STREAM_TIMEOUT,
@@ -49,7 +51,7 @@
   return Math.min(latest, from + callerTimeout - FIRST_EVENT_RESERVE);
 }
 
-/** Silences of a server, in milliseconds, that a request of the route tolerates. */
+/** Silences of a server that a request of the route tolerates. */
 export function silenceTimeouts(route: Route): SilenceTimeouts {
   const { latencyGoal, pauseGoal } = route;
   return {
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -14,20 +14,18 @@
 );
 const positive = v.pipe(v.number(), v.finite(), v.minValue(0));
 
-/** Schema of the settings; durations are seconds where the name says so. */
+/** Schema of the settings; all durations are in seconds. */
 export const gatewaySettingsSchema = v.object({
   /** Name of this instance; unique in the fleet. */
   instance: v.pipe(v.string(), v.minLength(1)),
   dataCentre: v.string(),
-  /** Cores available on each processor; may be less than 1. */
+  /** Portion of each processor that this instance may use, in cores. */
   processorShare: v.optional(positive, 1),
   /** Number of processors of this instance. */
   processors: v.optional(positive, 1),
   /** Address for callers. */
   front: address,
-  /**
-   * Address at which the load balancer polls whether this instance is ready.
-   */
+  /** Address at which the load balancer polls the readiness. */
   readiness: address,
   /** Address for other entries. */
   peers: address,
@@ -47,7 +45,7 @@
     quotaWindowSeconds: positive,
     /** Fraction by which a window may exceed rate and burst. */
     quotaOverage: positive,
-    /** Tokens by which a window may exceed that. */
+    /** Tokens by which a window may exceed rate, burst and overage together. */
     quotaSlack: positive,
   }),
 });
--- a/packages/gateway/src/state/entry_registration.ts
+++ b/packages/gateway/src/state/entry_registration.ts
@@ -18,7 +18,9 @@
  * survive a few lost renewals, short compared with a quota window of 8 s.
  */
 const LEASE_DURATION = 4000;
+/** Milliseconds between renewals of the lease. */
 const RENEWAL_INTERVAL = 1000;
+/** Milliseconds until a failed registration or renewal is retried. */
 const RETRY_DELAY = 400;
 
 /** Keeps the entry registered until {@link EntryRegistration.leave}. */
--- a/packages/gateway/src/state/fleet_state.ts
+++ b/packages/gateway/src/state/fleet_state.ts
@@ -24,7 +24,7 @@
 export type PublishedConfiguration = { revision: number; value: string };
 
 /** Called on every change of the state. */
-export type StateChanged = (
+export type StateChangeCallback = (
   kind: "configuration" | "servers" | "members",
 ) => void;
 
@@ -38,7 +38,7 @@
   readonly #codec: RecordCodec;
   readonly #log: EventLog;
   readonly #clock: () => number;
-  readonly #onChange: StateChanged;
+  readonly #onChange: StateChangeCallback;
   #activeConfiguration: ActiveConfiguration | undefined;
   #publishedConfiguration: PublishedConfiguration = { revision: 0, value: "" };
   #configurationConfirmed = false;
@@ -52,7 +52,7 @@
       log: EventLog;
       clock: () => number;
       contact: StoreContact;
-      onChange: StateChanged;
+      onChange: StateChangeCallback;
     },
   ) {
     this.#codec = options.codec;
@@ -75,7 +75,8 @@
   }
 
   /**
-   * True while no call to the store has failed since it last confirmed this.
+   * True from the time at which the store confirms the configuration until a
+   * call to the store fails.
    */
   get configurationConfirmed(): boolean {
     return this.#configurationConfirmed;
--- a/packages/gateway/src/state/prefix_follower.ts
+++ b/packages/gateway/src/state/prefix_follower.ts
@@ -58,13 +58,9 @@
       prefix: string;
       listener: PrefixListener;
       contact: StoreContact;
-      /**
-       * Milliseconds that the store holds a watch; bounds undetected silence.
-       */
+      /** Milliseconds that a watch is held; bounds undetected silence. */
       watchTimeout: () => number;
-      /**
-       * Milliseconds to delay the next watch after one that returned changes.
-       */
+      /** Milliseconds until the next watch after one that returned changes. */
       coalescingDelay?: () => number;
       clock: () => number;
     },
@@ -142,7 +138,7 @@
     return next;
   }
 
-  /** Moves a position to the known revision, which is then consumed. */
+  /** Moves a position forward to the known revision, and clears that. */
   #advance(position: WatchPosition): WatchPosition {
     const knownRevision = this.#knownRevision;
     this.#knownRevision = undefined;
--- a/packages/gateway/src/state/state_listener.ts
+++ b/packages/gateway/src/state/state_listener.ts
@@ -1,10 +1,8 @@
-/** A listener to a prefix of the store that is made of callbacks. @module */
+/** A {@link PrefixListener} made of callbacks. @module */
 import type { ItemChange, StoredItem } from "@sycamorepulley/store";
 import { PrefixListener } from "./prefix_follower.ts";
 
-/**
- * Callbacks of a listener; `onBatchEnd` follows each batch, even an empty one.
- */
+/** Callbacks of a listener; `onBatchEnd` follows each batch, even if empty. */
 export type ListenerCallbacks = {
   onSnapshot: (items: readonly StoredItem[], asOf: number) => void;
   onChange: (change: ItemChange) => void;
--- a/packages/gateway/src/state/store_contact.ts
+++ b/packages/gateway/src/state/store_contact.ts
@@ -10,15 +10,13 @@
 import type { PlatformError } from "@sycamorepulley/store";
 import type { EventLog } from "../observe/event_log.ts";
 
-/** Milliseconds of failed calls after which the store counts as lost. */
+/** Milliseconds without a response after which a failure means a lost store. */
 const LOST_AFTER = 1000;
 
 /** A call to the store that failed. */
 export type FailedCall = {
   error: PlatformError;
-  /**
-   * Prefix that was read or watched; empty for calls about the entry's lease.
-   */
+  /** Prefix that was read or watched; empty for calls about a lease. */
   prefix: string;
   /** Milliseconds from the start of the call until it failed. */
   time: number;
--- a/packages/gateway/src/state/store_followers.ts
+++ b/packages/gateway/src/state/store_followers.ts
@@ -11,9 +11,9 @@
 import type { StoreContact } from "./store_contact.ts";
 
 /**
- * Milliseconds that the store holds a watch of the entry whose turn is first.
- * Every call has a price. The store reports a change at once; it is noticed as
- * late as this only if all connections have gone silent.
+ * Milliseconds that the store holds a watch of the entry whose turn is first;
+ * see `WatchTimeouts`. Shorter watches cost more calls. The store reports a
+ * change at once; it is noticed this late only if all connections are silent.
  */
 const SHORTEST_WATCH_TIMEOUT = 2000;
 /** The same for the keys of entries, which are also connected directly. */
--- a/packages/gateway/test/divided_quota_test.ts
+++ b/packages/gateway/test/divided_quota_test.ts
@@ -5,12 +5,14 @@
 import type { FakeBackendServer } from "./fake_backend_server.ts";
 import { StoreView } from "./store_view.ts";
 
-/** Seconds. */
+/** Quota window in seconds. */
 const WINDOW = 2;
 /**
- * By the fixture's quota of 1000 a second, its burst of 1000 and its bounds.
+ * Tokens accepted in a window by the fixture's quota of 1000 a second, its
+ * burst of 1000 and its bounds.
  */
 const ACCEPTED = (WINDOW * 1000 + 1000) * 1.1 + 100;
+/** Tokens charged for one request. */
 const TOKENS = 100;
 
 /** Returns a list that collects the times at which requests run. */
@@ -25,6 +27,7 @@
   return runs;
 }
 
+/** Returns the largest number of tokens in any window. */
 function largestWindow(runs: readonly number[]): number {
   const inside = runs.map((from) =>
     runs.filter((at) => at >= from && at < from + WINDOW * 1000).length
--- a/packages/gateway/test/event_log_test.ts
+++ b/packages/gateway/test/event_log_test.ts
@@ -37,7 +37,7 @@
 });
 
 t.test("lines that do not fit are counted, and the count is logged once there is space", (t) => {
-  // Guards against requests blocked by a log collector that has stopped reading.
+  // Guards against requests blocked by a log collector that stopped reading.
   const sink = new CollectingSink();
   let now = 0;
   const log = new EventLog({ instance: "e", sink, clock: () => now });
--- a/packages/gateway/test/fixture.ts
+++ b/packages/gateway/test/fixture.ts
@@ -29,7 +29,7 @@
   reserved: ["X-Hold"],
 };
 
-class JsonRecords extends RecordCodec {
+class JsonRecordCodec extends RecordCodec {
   override readonly configurationKey = "configuration";
   override readonly serverPrefix = "servers/";
 
@@ -169,7 +169,7 @@
         },
       },
       store: options.storeView ?? store,
-      codec: new JsonRecords(),
+      codec: new JsonRecordCodec(),
       headerNames: NAMES,
       sink,
     });
--- a/packages/gateway/test/heartbeats_test.ts
+++ b/packages/gateway/test/heartbeats_test.ts
@@ -96,7 +96,7 @@
   t.end();
 });
 
-t.test("a new granting entry has the full time limit to answer", (t) => {
+t.test("a new granting entry has the full time limit to respond", (t) => {
   const { links, own, heartbeats, silent } = fleet(3);
   heartbeats.round(200);
   own.asks = "entry-1";
@@ -107,7 +107,7 @@
   t.end();
 });
 
-t.test("outdated standings do not confirm a configuration", (t) => {
+t.test("outdated statuses do not confirm a configuration", (t) => {
   const { links, heartbeats } = fleet(2);
   heartbeats.round(200);
   t.equal(heartbeats.currentStatuses(500).length, 3);
--- a/packages/gateway/test/refusal_line_test.ts
+++ b/packages/gateway/test/refusal_line_test.ts
@@ -2,7 +2,7 @@
 import { Fixture } from "./fixture.ts";
 
 t.test("the log line of a refusal names the organisation and the inputs of the decision", async (t) => {
-  // Without them, a 429 for a quota that is too low looks like one for full servers.
+  // Without them, a 429 for a low quota looks like one for full servers.
   const fixture = await Fixture.startReady();
   const headers = { "x-tokens": "90000,10" };
   await fixture.call("/stream/", { method: "POST", headers });
--- a/packages/gateway/test/request_path_test.ts
+++ b/packages/gateway/test/request_path_test.ts
@@ -79,7 +79,7 @@
 });
 
 t.test("a request that may have run is neither retried nor reported as not run", async (t) => {
-  // A booking runs and its response is lost: a retry or a 503 would book it twice.
+  // A booking runs and its response is lost; a retry or 503 would double it.
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (_response, _received, socket) => socket.resetAndDestroy();
@@ -148,7 +148,7 @@
 });
 
 t.test("a response without a length that ends with a reset is not complete", async (t) => {
-  // The HTTP client takes the reset for the end, so half a body would look complete.
+  // The HTTP client takes the reset for the end: half a body looks complete.
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (_response, received, socket) => {
@@ -168,7 +168,7 @@
 });
 
 t.test("a chunked response that ends between two chunks is not complete", async (t) => {
-  // The HTTP client calls it complete if the connection was to close afterwards.
+  // The HTTP client calls it complete if the connection was to close after it.
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (_response, received, socket) => {
@@ -207,7 +207,7 @@
 });
 
 t.test("a close-delimited response is passed on as close-delimited", async (t) => {
-  // With a content length added, a response cut short by a crash would look complete.
+  // With a content length, a response cut short by a crash would look complete.
   const fixture = await Fixture.startReady();
   for (const server of fixture.servers) {
     server.respond = (_response, received, socket) => {
@@ -251,9 +251,9 @@
 });
 
 t.test("a request is not sent to a server if its caller disconnected before it was read", async (t) => {
-  // An entry without processor time for 2 s reads requests whose callers have given up.
+  // An entry stalled for 2 s reads requests whose callers have disconnected.
   const fixture = await Fixture.startReady();
-  // Leaves an idle connection to each server, so that a request is sent at once.
+  // Leaves an idle connection to each server, to send a request at once.
   await Promise.all([1, 2, 3, 4, 5, 6].map(() => fixture.call("/calls/")));
   const socket = connect(fixture.ports.front, "127.0.0.1");
   await new Promise((resolve) => socket.once("connect", resolve));
--- a/packages/gateway/test/request_task_test.ts
+++ b/packages/gateway/test/request_task_test.ts
@@ -21,7 +21,7 @@
 };
 
 t.test("a grant that arrives after the deadline is withdrawn", async (t) => {
-  // Otherwise a late grant, or one after a disconnect, occupies its slot for ever.
+  // A late grant, or one after a disconnect, would occupy its slot for ever.
   let now = 0;
   const withdrawn: string[] = [];
   const errorStatuses: number[] = [];
--- a/packages/gateway/test/retry_budgets_test.ts
+++ b/packages/gateway/test/retry_budgets_test.ts
@@ -12,7 +12,7 @@
 };
 
 t.test("the retry budget of an entry follows the number of entries", (t) => {
-  // Guards against an entry keeping the whole budget that it had while it knew no others.
+  // Guards against an entry that keeps the whole budget that it had when alone.
   let entries = 1;
   const consumeRetry = createRetryBudgets(() => BOUNDS, () => entries);
   const allowed = (now: number) => {
--- a/packages/gateway/test/server_limit_test.ts
+++ b/packages/gateway/test/server_limit_test.ts
@@ -12,9 +12,7 @@
 /** Milliseconds from the first stated limit until it has to be kept. */
 const GRACE = 500;
 
-/**
- * Lets a server state `limit`; returns the times of requests as they arrive.
- */
+/** Lets a server state `limit`; returns the times at which requests arrive. */
 function stateLimit(server: FakeBackendServer, limit: () => string): number[] {
   const sent: number[] = [];
   server.respond = (response, received) => {
@@ -26,6 +24,7 @@
   return sent;
 }
 
+/** Returns the largest number of requests in a window after the grace time. */
 function largestWindow(sent: readonly number[]): number {
   const counted = sent.filter((at) => at > sent[0]! + GRACE);
   const inside = counted.map((from) =>
--- a/packages/gateway/test/silence_test.ts
+++ b/packages/gateway/test/silence_test.ts
@@ -2,7 +2,7 @@
 import { Fixture, route, storedConfiguration, waitUntil } from "./fixture.ts";
 
 t.test("a request goes to no more silent servers than its route allows", async (t) => {
-  // Guards against a retry after the last server that the route allows was silent.
+  // Guards against a retry after the last server that the route allows.
   const fixture = await Fixture.startReady();
   const only = route({ prefix: "/only/", maximumServers: 1 });
   fixture.store.put("configuration", storedConfiguration(2, [only]));
--- a/packages/gateway/test/slow_link.ts
+++ b/packages/gateway/test/slow_link.ts
@@ -56,9 +56,7 @@
     }
   }
 
-  /**
-   * Waits until the link has transmitted these bytes after all earlier ones.
-   */
+  /** Waits until the link has transmitted these bytes after earlier ones. */
   async #waitForBandwidth(bytes: number): Promise<void> {
     const now = performance.now();
     this.#freeAt = Math.max(now, this.#freeAt) +
--- a/packages/gateway/test/state_log_test.ts
+++ b/packages/gateway/test/state_log_test.ts
@@ -23,9 +23,9 @@
   const failed = lines("store_call_failed")
     .find(({ prefix }) => prefix === "configuration");
   t.match(failed, { step: "read page", reason: "unreachable", time: Number });
-  const asked = lines("state_requested")
+  const requested = lines("state_requested")
     .find(({ state }) => state === "configuration");
-  t.match(asked, { from: "entry-1" });
+  t.match(requested, { from: "entry-1" });
   t.ok(lines("state_sent").some(({ size }) => Number(size) > 100));
   await Promise.all([first.stop(), second.gateway.stop()]);
 });
--- a/packages/gateway/test/stream_path_test.ts
+++ b/packages/gateway/test/stream_path_test.ts
@@ -31,7 +31,7 @@
 });
 
 t.test("a stream is resumed at another server when its server becomes silent", async (t) => {
-  // Guards against callers waiting for a server that stopped in the middle of a stream.
+  // Guards against callers waiting for a server that stopped amid a stream.
   const fixture = await Fixture.startReady();
   let streamsStarted = 0;
   for (const server of fixture.servers) {
