--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * One gateway process: creates its components, passes events between them, and
- * stops them.
+ * One gateway process, called an entry: creates its components, passes events
+ * between them, and stops them.
  * @module
  */
 import { randomBytes } from "node:crypto";
--- a/packages/gateway/src/observe/events.ts
+++ b/packages/gateway/src/observe/events.ts
@@ -64,8 +64,10 @@
   | { event: "dependency_regained"; dependency: string }
   | {
     event: "group_changed";
+    /** The granting entry, and the number of entries in the group. */
     granting: string;
     size: number;
+    /** Fractions of capacity and quotas that the entry grants from. */
     room: number;
     quota: number;
   }
--- a/packages/gateway/src/peers/grant_client.ts
+++ b/packages/gateway/src/peers/grant_client.ts
@@ -1,6 +1,6 @@
 /**
  * Obtains a backend server for each request of this entry from the granting
- * entry of its group, which may be this entry itself.
+ * entry of its group, the connected entries. That may be this entry itself.
  * @module
  */
 import { groupFractions, selectGrantingEntry } from "@sycamorepulley/decisions";
--- a/packages/gateway/src/peers/heartbeats.ts
+++ b/packages/gateway/src/peers/heartbeats.ts
@@ -116,6 +116,7 @@
     return current;
   }
 
+  /** True if one of the two entries grants for the other. */
   #isGrantPeer(name: string, link: PeerLink): boolean {
     return name === this.#grantingEntry || link.status?.asks === this.#instance;
   }
--- a/packages/gateway/src/peers/messages.ts
+++ b/packages/gateway/src/peers/messages.ts
@@ -10,7 +10,10 @@
 const amount = v.pipe(v.number(), v.finite());
 const duration = amount;
 
-/** A grant request with times relative to its sending; see `GrantRequest`. */
+/**
+ * A grant request with times relative to its sending; `encodeGrantRequest`
+ * shows which field of `GrantRequest` each field is.
+ */
 export const grantRequestMessageSchema = v.object({
   type: v.literal("ask"),
   id: text,
@@ -72,6 +75,7 @@
   v.object({
     type: v.literal("hello"),
     instance: text,
+    /** Differs for each start of the sender. */
     incarnation: text,
     /** The sender has read the member list from the store. */
     knowsMembers: v.optional(v.boolean(), false),
