--- a/packages/gateway/src/peers/messages.ts
+++ b/packages/gateway/src/peers/messages.ts
@@ -10,7 +10,10 @@
 const amount = v.pipe(v.number(), v.finite());
 const duration = amount;
 
-/** A grant request with times relative to its sending; see `GrantRequest`. */
+/**
+ * A grant request with times relative to its sending; `encodeGrantRequest`
+ * shows which field of `GrantRequest` each field is.
+ */
 export const grantRequestMessageSchema = v.object({
   type: v.literal("ask"),
   id: text,
@@ -72,6 +75,7 @@
   v.object({
     type: v.literal("hello"),
     instance: text,
+    /** Differs for each start of the sender. */
     incarnation: text,
     /** The sender has read the member list from the store. */
     knowsMembers: v.optional(v.boolean(), false),
@@ -80,7 +84,7 @@
   v.object({
     type: v.literal("heartbeat"),
     configurationRevision: count,
-    /** The store confirmed that revision to the sender; no call failed since. */
+    /** The store confirmed it to the sender, and no call has failed since. */
     configurationConfirmed: v.optional(v.boolean(), false),
     serverRevision: count,
     /** The sender is draining. */
@@ -132,9 +136,7 @@
   v.object({ type: v.literal("withdraw"), id: text }),
   /** The sender has another granting entry now; granted requests still run. */
   v.object({ type: v.literal("release"), id: text }),
-  /**
-   * `measured`: milliseconds from sending the request until its response began.
-   */
+  /** `measured`: milliseconds from sending until the response began. */
   v.object({ type: v.literal("first_answer"), id: text, measured: duration }),
   v.object({
     type: v.literal("ended"),
