--- a/benchmarks/src/policies/sidecar.ts
+++ b/benchmarks/src/policies/sidecar.ts
@@ -114,7 +114,7 @@
       onFirstToken: () => this.#handleFirstToken(held),
       onLaterToken: () => {
         held.tokens += 1;
-        this.#applyDecisions(this.#scheduler.progressed(id, 1, loop.now));
+        this.#applyDecisions(this.#scheduler.recordTokens(id, 1, loop.now));
       },
       onFinished: () => this.#handleFinished(held),
       onCrashed: () => this.#handleFailure(held),
@@ -201,7 +201,7 @@
     const { id } = held.waiting;
     held.firstTokenAt = now;
     held.tokens = 1;
-    this.#scheduler.firstToken(id, now);
+    this.#scheduler.recordFirstToken(id, now);
     this.#sendToEntry(
       held.reservation.entry,
       (peer) => peer.handleFirstToken(id, this.#index),
@@ -245,7 +245,7 @@
     const { id } = held.waiting;
     const { now } = this.#fleet.loop;
     this.#reservations.delete(id);
-    this.#applyDecisions(this.#scheduler.finished(id, outcome, now));
+    this.#applyDecisions(this.#scheduler.recordEnd(id, outcome, now));
   }
 
   #handleCrash(): void {
--- a/packages/daemon/src/entry/directory_listener.ts
+++ b/packages/daemon/src/entry/directory_listener.ts
@@ -30,7 +30,7 @@
     this.#options.log.info("link opened", { sidecar: session.name });
     this.#options.onPeerRevision(session, hello.configurationRevision);
     if (hello.leaving) {
-      this.#serviceState(session)?.servers.markLeaving(session.name);
+      this.#serviceState(session)?.servers.markDraining(session.name);
     }
   }
 
@@ -47,7 +47,7 @@
         );
         return;
       case "leaving":
-        serviceState?.servers.markLeaving(session.name);
+        serviceState?.servers.markDraining(session.name);
         this.#options.log.info("sidecar leaving", { sidecar: session.name });
         return;
       case "crashed":
--- a/packages/daemon/src/entry/placement_task.ts
+++ b/packages/daemon/src/entry/placement_task.ts
@@ -137,7 +137,7 @@
   #handleRefusal(event: RequestEvent & { kind: "refuse" }): undefined {
     const { sidecar, reason, retryAfter } = event;
     const { serviceState, request } = this.#options;
-    if (reason === "leaving") serviceState.servers.markLeaving(sidecar);
+    if (reason === "leaving") serviceState.servers.markDraining(sidecar);
     const detail = `no backend server of ${request.service.name} takes a ` +
       `request of tier ${request.tier.name} now`;
     this.#refusal = earliestRetry(
--- a/packages/daemon/src/entry/sidecar_directory.ts
+++ b/packages/daemon/src/entry/sidecar_directory.ts
@@ -141,7 +141,7 @@
       dataCentre: instance.dataCentre,
       version: instance.version,
     }, now);
-    if (instance.leaving) serviceState.servers.markLeaving(instance.name);
+    if (instance.leaving) serviceState.servers.markDraining(instance.name);
   }
 
   /**
--- a/packages/daemon/src/moves/service_move.ts
+++ b/packages/daemon/src/moves/service_move.ts
@@ -96,13 +96,13 @@
     side: VersionSide,
     call: { route: string; failed: boolean; slowness?: number | undefined },
   ): void {
-    if (side === "to") this.#split.requestEnded();
+    if (side === "to") this.#split.recordEnd();
     this.#collector.recordCall({ ...call, side });
   }
 
   /** Records that a request chosen for a side ended without running. */
   recordNotRun(side: VersionSide): void {
-    if (side === "to") this.#split.requestEnded();
+    if (side === "to") this.#split.recordEnd();
   }
 
   /**
--- a/packages/daemon/src/sidecar/sidecar.ts
+++ b/packages/daemon/src/sidecar/sidecar.ts
@@ -62,10 +62,10 @@
       listener: {
         onHead: (headers, startedAt) =>
           this.#observeServerLimit(headers, startedAt),
-        onFirstToken: (id, now) => this.#scheduler.firstToken(id, now),
+        onFirstToken: (id, now) => this.#scheduler.recordFirstToken(id, now),
         onProgress: (id, outputTokens) =>
           this.#applyDecisions(
-            this.#scheduler.progressed(id, outputTokens, monotonicNow()),
+            this.#scheduler.recordTokens(id, outputTokens, monotonicNow()),
           ),
       },
       diagnose: (request) =>
@@ -244,7 +244,7 @@
     const failed = isServerFailure(outcome);
     this.#options.versionGuard.recordCall({ route, failed }, now, wallNow());
     this.#applyDecisions(
-      this.#scheduler.finished(request.id, limitOutcome(outcome), now),
+      this.#scheduler.recordEnd(request.id, limitOutcome(outcome), now),
     );
   }
 
--- a/packages/decisions/src/fleet/membership_list.ts
+++ b/packages/decisions/src/fleet/membership_list.ts
@@ -58,7 +58,7 @@
    * Records that an entry announced its stop, so that nothing is reserved for
    * it after its grace period.
    */
-  markLeaving(name: string): void {
+  markDraining(name: string): void {
     this.#draining.add(name);
   }
 
--- a/packages/decisions/src/granting/reservation_scheduler.ts
+++ b/packages/decisions/src/granting/reservation_scheduler.ts
@@ -137,11 +137,11 @@
     return { valid: true, reservation: open.reservation };
   }
 
-  firstToken(id: string, now: number): void {
+  recordFirstToken(id: string, now: number): void {
     this.#limit.recordFirstToken(id, now);
   }
 
-  progressed(
+  recordTokens(
     id: string,
     outputTokens: number,
     now: number,
@@ -151,7 +151,7 @@
   }
 
   /** Removes a request that has ended, which frees its capacity. */
-  finished(
+  recordEnd(
     id: string,
     outcome: "ok" | "failed" | "cancelled",
     now: number,
--- a/packages/decisions/src/moves/version_split.ts
+++ b/packages/decisions/src/moves/version_split.ts
@@ -75,7 +75,7 @@
   }
 
   /** Records that a request to the new version ended, in whatever way. */
-  requestEnded(): void {
+  recordEnd(): void {
     this.#inFlight = Math.max(this.#inFlight - 1, 0);
   }
 
--- a/packages/decisions/src/placement/backend_server_set.ts
+++ b/packages/decisions/src/placement/backend_server_set.ts
@@ -150,7 +150,7 @@
    * Excludes a draining server from all later choices until it is removed. The
    * instance list lags and would offer the server again for seconds.
    */
-  markLeaving(name: string): void {
+  markDraining(name: string): void {
     this.#draining.add(name);
     const server = this.#servers.get(name);
     if (server !== undefined) this.#makeIneligible(server);
--- a/packages/decisions/test/group_fractions_test.ts
+++ b/packages/decisions/test/group_fractions_test.ts
@@ -143,7 +143,7 @@
 
 t.test("an entry that announced its stop keeps no share after the grace period", (t) => {
   const members = membersOf(NAMES);
-  members.markLeaving("e");
+  members.markDraining("e");
   members.markUnregistered("e", 0);
   t.equal(members.shares(9999).get("e"), 1);
   t.notOk(members.shares(10_001).has("e"));
--- a/packages/decisions/test/move_judge_test.ts
+++ b/packages/decisions/test/move_judge_test.ts
@@ -149,7 +149,7 @@
           requests++;
           if (split.choose() === "to") unended++;
           if (end && unended > 0) {
-            split.requestEnded();
+            split.recordEnd();
             unended--;
           }
           if (unended > 8 || split.sent > trialRequests) return false;
--- a/packages/decisions/test/placement_test.ts
+++ b/packages/decisions/test/placement_test.ts
@@ -42,7 +42,7 @@
       fc.integer(),
       (size, draining, excluded, count, prefixKey, seed) => {
         const set = createSet(size);
-        for (const index of draining) set.markLeaving(`s${index}`);
+        for (const index of draining) set.markDraining(`s${index}`);
         // The instance list lags and still contains the draining servers.
         for (const index of draining) {
           set.add({ name: `s${index}`, dataCentre: "a" }, 1);
--- a/packages/decisions/test/reservation_scheduler_test.ts
+++ b/packages/decisions/test/reservation_scheduler_test.ts
@@ -52,7 +52,7 @@
   const [first] = scheduler.reserve(waitingReservation("a"), 0);
   scheduler.redeem("a", first?.kind === "grant" ? first.grant : -1);
   t.same(scheduler.reserve(waitingReservation("s", { suspect: true }), 0), []);
-  t.match(scheduler.finished("a", "ok", 1), [{ kind: "grant", id: "s" }]);
+  t.match(scheduler.recordEnd("a", "ok", 1), [{ kind: "grant", id: "s" }]);
   t.same(scheduler.reserve(waitingReservation("b"), 2), []);
   t.end();
 });
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -294,7 +294,7 @@
       this.#fleetState.mergeMembers(message.members);
     }
     if (message.type === "heartbeat" && message.leaving) {
-      this.#fleetState.membershipList.markLeaving(peer);
+      this.#fleetState.membershipList.markDraining(peer);
     }
     this.#stateSharing.handleMessage(peer, message);
   }
